--- a/scheduling/rank_queue.cc
+++ b/scheduling/rank_queue.cc
@@ -1,7 +1,7 @@
-// One list per rank, ordered by target time. The rank is picked by shares;
-// within a rank the application with the least service per share goes first,
-// then the earliest target. A pick scans at most the waiting items, whose
-// number is bounded by maxWaiting.
+// Each rank has a list ordered by target time. A ShareTracker picks the rank.
+// Within a rank, the application that received the least service relative to
+// its share goes first, then the attempt with the earliest target. A pick scans
+// at most all waiting attempts, whose number is bounded by maxWaiting().
 #include "scheduling/rank_queue.h"
 
 #include <algorithm>
@@ -10,21 +10,22 @@
 namespace goldcrestlink {
 
 namespace {
-// Served work of all applications of a rank is halved beyond this many
-// seconds, so that an idle application cannot save up an unbounded claim.
+// Once an application of a rank has received more service than this, the
+// service of all applications of the rank is halved, so that an idle
+// application does not build up an unbounded claim.
 constexpr double MaxAppServedSeconds = 600;
 } // namespace
 
 RankQueue::RankQueue(Options O, std::vector<double> RankShares,
                      std::unordered_map<std::string, double> AppShares)
-    : Limits(O), RankShare(RankShares, O.shareHalfLife()),
+    : Opts(O), RankTracker(RankShares, O.shareHalfLife()),
       AppShares(std::move(AppShares)), Ranks(RankShares.size()),
-      RankWork(RankShares.size()), AppServed(RankShares.size()) {}
+      RankWork(RankShares.size()), ServedSeconds(RankShares.size()) {}
 
 bool RankQueue::push(WaitingItem Item) {
   assert(Item.Rank < Ranks.size());
   assert(!Index.count(Item.AttemptId));
-  if (Index.size() >= Limits.maxWaiting())
+  if (Index.size() >= Opts.maxWaiting())
     return false;
   Items &List = Ranks[Item.Rank];
   auto Where = List.end();
@@ -53,45 +54,46 @@
   return true;
 }
 
-double RankQueue::appDebt(size_t Rank, const std::string &Application) const {
-  const auto Served = AppServed[Rank].find(Application);
+double RankQueue::servicePerShare(size_t Rank,
+                                  const std::string &Application) const {
+  const auto Served = ServedSeconds[Rank].find(Application);
   const auto Share = AppShares.find(Application);
   const double Weight = Share == AppShares.end() ? 1 : Share->second;
-  return Served == AppServed[Rank].end() ? 0 : Served->second / Weight;
+  return Served == ServedSeconds[Rank].end() ? 0 : Served->second / Weight;
 }
 
 RankQueue::Items::iterator
-RankQueue::bestOf(size_t Rank,
+RankQueue::nextOf(size_t Rank,
                   const std::function<bool(const WaitingItem &)> &CanStart) {
   Items &List = Ranks[Rank];
   auto Best = List.end();
-  double BestDebt = 0;
+  double BestService = 0;
   for (auto It = List.begin(); It != List.end(); ++It) {
-    const double Debt = appDebt(Rank, It->Application);
-    if ((Best == List.end() || Debt < BestDebt) && CanStart(*It)) {
+    const double Service = servicePerShare(Rank, It->Application);
+    if ((Best == List.end() || Service < BestService) && CanStart(*It)) {
       Best = It;
-      BestDebt = Debt;
+      BestService = Service;
     }
   }
   return Best;
 }
 
 std::optional<WaitingItem>
-RankQueue::pickNext(Time N,
+RankQueue::pickNext(Time Now,
                     const std::function<bool(const WaitingItem &)> &CanStart) {
   std::vector<Items::iterator> Best(Ranks.size());
   std::vector<bool> Eligible(Ranks.size());
   for (size_t I = 0; I < Ranks.size(); ++I) {
-    Best[I] = bestOf(I, CanStart);
+    Best[I] = nextOf(I, CanStart);
     Eligible[I] = Best[I] != Ranks[I].end();
   }
-  const auto Rank = RankShare.pick(Eligible, Eligible);
+  const auto Rank = RankTracker.pick(Eligible, Eligible);
   if (!Rank)
     return std::nullopt;
   WaitingItem Out = take(Best[*Rank]);
   const double Work = seconds(Out.Service);
-  RankShare.charge(N, *Rank, Work);
-  auto &Served = AppServed[*Rank];
+  RankTracker.charge(Now, *Rank, Work);
+  auto &Served = ServedSeconds[*Rank];
   Served[Out.Application] += Work;
   if (Served[Out.Application] > MaxAppServedSeconds)
     for (auto &[Name, Value] : Served)
@@ -99,21 +101,22 @@
   return Out;
 }
 
-bool RankQueue::hopeless(Time N, const WaitingItem &Item) const {
-  if (Item.Target <= N)
+bool RankQueue::isTooLate(Time Now, const WaitingItem &Item) const {
+  if (Item.Target <= Now)
     return true;
-  // What is too long for its target in any case is not refused for that.
+  // An attempt that takes too long for its target even without any wait is not
+  // refused for that alone.
   const Duration Tolerable =
       fromSeconds(TolerableWaitShare * seconds(Item.Target - Item.Arrived));
-  return N - Item.Arrived > Tolerable && N + Item.Service > Item.Target;
+  return Now - Item.Arrived > Tolerable && Now + Item.Service > Item.Target;
 }
 
-std::vector<WaitingItem> RankQueue::takeHopeless(Time N) {
+std::vector<WaitingItem> RankQueue::takeHopeless(Time Now) {
   std::vector<WaitingItem> Out;
   for (Items &List : Ranks)
     for (auto It = List.begin(); It != List.end();) {
       const auto Next = std::next(It);
-      if (hopeless(N, *It))
+      if (isTooLate(Now, *It))
         Out.push_back(take(It));
       It = Next;
     }
--- a/scheduling/rank_queue.h
+++ b/scheduling/rank_queue.h
@@ -1,7 +1,8 @@
-// Waiting attempts of one upstream, by rank and application. The queue decides
-// which attempt starts next and which can no longer make its time.
+// Queue of the attempts that wait for one upstream, by rank and application. It
+// decides which attempt starts next and which can no longer meet its target.
 //
-//   RankQueue Q(RankQueue::Options().setMaxWaiting(512), Ranks, Apps);
+//   auto Opts = RankQueue::Options().setMaxWaiting(512);
+//   RankQueue Q(Opts, RankShares, AppShares);
 //   Q.push(Item);
 //   while (auto Id = Q.pickNext(Now, CanStart)) dispatch(*Id);
 #ifndef GOLDCRESTLINK_SCHEDULING_RANK_QUEUE_H
@@ -19,8 +20,8 @@
 
 namespace goldcrestlink {
 
-/// Waiting is tolerable up to this part of the time to the target, even if the
-/// target is then missed.
+/// An attempt may wait up to this fraction of its time to the target, even if
+/// it then misses the target.
 constexpr double TolerableWaitShare = 0.3;
 
 /// One waiting attempt.
@@ -28,15 +29,17 @@
   std::string AttemptId;
   /// Hash of the slot key; 0 for plain services.
   uint64_t Slot = 0;
+  /// 0 is the most urgent rank.
   size_t Rank = 0;
   std::string Application;
   Time Arrived;
-  /// The answer should be whole by then.
+  /// When the answer should be complete.
   Time Target;
-  /// The attempt ends with an error then.
+  /// When the attempt ends with an error.
   Time Deadline;
-  /// Expected time from start to whole answer.
+  /// Expected time from the start to the complete answer.
   Duration Service{};
+  /// The attempt must run alone on the upstream.
   bool Isolated = false;
 };
 
@@ -47,8 +50,8 @@
   public:
     size_t maxWaiting() const { return MaxWaiting; }
     Duration shareHalfLife() const { return ShareHalfLife; }
-    Options &setMaxWaiting(size_t N) {
-      MaxWaiting = N;
+    Options &setMaxWaiting(size_t Count) {
+      MaxWaiting = Count;
       return *this;
     }
     Options &setShareHalfLife(Duration D) {
@@ -61,28 +64,30 @@
     Duration ShareHalfLife = std::chrono::seconds(10);
   };
 
-  /// \p RankShares from the most urgent; \p AppShares by application.
+  /// \p RankShares are the shares of the ranks, from the most urgent;
+  /// \p AppShares are the shares by application name, 1 if not listed.
   RankQueue(Options O, std::vector<double> RankShares,
             std::unordered_map<std::string, double> AppShares);
 
-  /// Adds an item; false if the queue is full. Precondition: Rank is valid and
-  /// the attempt id is not waiting.
+  /// Adds an attempt; returns false if the queue is full. Precondition: the
+  /// rank is less than ranks(), and no attempt with this id is waiting.
   bool push(WaitingItem Item);
-  /// Removes an attempt; false if it is not waiting.
+  /// Removes an attempt; returns false if it is not waiting.
   bool remove(const std::string &AttemptId);
-  /// Takes out the attempt to start next among those that \p CanStart accepts,
-  /// and charges its service time to its rank and application.
+  /// Removes and returns the attempt to start next among those that \p CanStart
+  /// accepts, and counts its service time towards its rank and application.
   std::optional<WaitingItem>
-  pickNext(Time N, const std::function<bool(const WaitingItem &)> &CanStart);
-  /// Takes out attempts that are past their target, or have waited so long
-  /// that they could not be whole by then.
-  std::vector<WaitingItem> takeHopeless(Time N);
+  pickNext(Time Now, const std::function<bool(const WaitingItem &)> &CanStart);
+  /// Removes and returns the attempts that are past their target, and those
+  /// that would miss it and have used up TolerableWaitShare.
+  std::vector<WaitingItem> takeHopeless(Time Now);
 
-  /// Items of \p Rank, earliest target first.
+  /// Waiting attempts of \p Rank, earliest target first.
   const std::list<WaitingItem> &waiting(size_t Rank) const;
   size_t size() const { return Index.size(); }
   size_t ranks() const { return Ranks.size(); }
-  /// Expected service time waiting at \p Rank and more urgent ranks.
+  /// Sum of the expected service times of the attempts that wait at \p Rank or
+  /// a more urgent rank.
   Duration workAhead(size_t Rank) const;
 
 private:
@@ -92,18 +97,24 @@
     Items::iterator Item;
   };
 
-  Items::iterator bestOf(size_t Rank,
+  /// The attempt of \p Rank to start next; the end of its list if none can
+  /// start.
+  Items::iterator nextOf(size_t Rank,
                          const std::function<bool(const WaitingItem &)> &);
-  double appDebt(size_t Rank, const std::string &Application) const;
+  /// Service that the application received at \p Rank, in seconds divided by
+  /// its share.
+  double servicePerShare(size_t Rank, const std::string &Application) const;
+  /// Removes and returns the attempt.
   WaitingItem take(Items::iterator It);
-  bool hopeless(Time N, const WaitingItem &Item) const;
+  bool isTooLate(Time Now, const WaitingItem &Item) const;
 
-  Options Limits;
-  ShareTracker RankShare;
+  Options Opts;
+  ShareTracker RankTracker;
   std::unordered_map<std::string, double> AppShares;
   std::vector<Items> Ranks;
   std::vector<Duration> RankWork;
-  std::vector<std::unordered_map<std::string, double>> AppServed;
+  // By rank and application.
+  std::vector<std::unordered_map<std::string, double>> ServedSeconds;
   std::unordered_map<std::string, Position> Index;
 };
 
--- a/scheduling/testing/scheduling_test.cc
+++ b/scheduling/testing/scheduling_test.cc
@@ -1,4 +1,5 @@
-// Ranks, shares and the waiting queue.
+// RankQueue: shares of ranks and applications, bounds, order and removal of
+// late attempts.
 #include <doctest/doctest.h>
 
 #include "base/random.h"
@@ -22,47 +23,48 @@
 
 const auto Anything = [](const WaitingItem &) { return true; };
 
-struct FloodRow {
+struct OverloadRow {
   const char *Name;
-  // Waiting items added per served item.
-  double Offered[3];
-  // Part of the service that each rank must get at least.
-  double Least[3];
+  // Attempts added at each rank per attempt served.
+  double AddedPerStep[3];
+  // Minimum fraction of the service that each rank must get.
+  double MinShare[3];
 };
 
 // Shares are 0.3, 0.3 and 0.2.
-const FloodRow FloodRows[] = {
-    {"bulk floods", {0.3, 0.3, 10}, {0.25, 0.25, 0.35}},
-    {"urgent floods", {10, 0.4, 0.3}, {0.4, 0.29, 0.19}},
-    {"all flood", {10, 10, 10}, {0.4, 0.29, 0.19}},
-    {"only bulk", {0, 0, 2}, {0, 0, 0.99}},
+const OverloadRow OverloadRows[] = {
+    {"bulk rank overloaded", {0.3, 0.3, 10}, {0.25, 0.25, 0.35}},
+    {"urgent rank overloaded", {10, 0.4, 0.3}, {0.4, 0.29, 0.19}},
+    {"all ranks overloaded", {10, 10, 10}, {0.4, 0.29, 0.19}},
+    {"only the bulk rank has work", {0, 0, 2}, {0, 0, 0.99}},
 };
 
 } // namespace
 
-TEST_CASE("each rank keeps its share of the service in a flood of another") {
-  for (const FloodRow &Row : FloodRows) {
+TEST_CASE("each rank keeps its share while another rank is overloaded") {
+  for (const OverloadRow &Row : OverloadRows) {
     RankQueue Q(RankQueue::Options().setMaxWaiting(100000), {0.3, 0.3, 0.2},
                 {});
     Random R(3);
-    double Owed[3] = {};
+    double Pending[3] = {};
     double Served[3] = {};
     int Id = 0;
     constexpr int Steps = 2000;
     for (int Step = 0; Step < Steps; ++Step) {
       for (size_t Rank = 0; Rank < 3; ++Rank)
-        for (Owed[Rank] += Row.Offered[Rank]; Owed[Rank] >= 1; --Owed[Rank])
+        for (Pending[Rank] += Row.AddedPerStep[Rank]; Pending[Rank] >= 1;
+             --Pending[Rank])
           Q.push(item(++Id, Rank));
       if (const auto Item = Q.pickNext(at(Step * 100), Anything))
         ++Served[Item->Rank];
     }
     for (size_t Rank = 0; Rank < 3; ++Rank)
-      CHECK_MESSAGE(Served[Rank] / Steps >= Row.Least[Rank] * 0.95,
+      CHECK_MESSAGE(Served[Rank] / Steps >= Row.MinShare[Rank] * 0.95,
                     std::string(Row.Name) << " rank " << Rank);
   }
 }
 
-TEST_CASE("applications of a rank are served by their shares") {
+TEST_CASE("applications of a rank are served in proportion to their shares") {
   RankQueue Q(RankQueue::Options().setMaxWaiting(100000), {1.0},
               {{"big", 3}, {"small", 1}});
   int Big = 0;
@@ -74,7 +76,8 @@
   CHECK(Big <= 305);
 }
 
-TEST_CASE("the queue is bounded, ordered by target, and drops the late") {
+TEST_CASE(
+    "the queue is bounded, ordered by target, and removes late attempts") {
   RankQueue Q(RankQueue::Options().setMaxWaiting(3), {0.5, 0.5}, {});
   CHECK(Q.push(item(3, 1)));
   CHECK(Q.push(item(1, 1)));
@@ -84,7 +87,8 @@
   CHECK(Q.workAhead(1) == std::chrono::seconds(3));
   CHECK(Q.remove("2"));
   CHECK_FALSE(Q.remove("2"));
-  // Each takes a second: the first is hopeless a second before its target.
+  // Each attempt takes 1 s, so attempt 1 becomes too late 1 s before its
+  // target.
   CHECK(Q.takeHopeless(at(99001)).empty());
   const auto Late = Q.takeHopeless(at(99002));
   REQUIRE(Late.size() == 1);
@@ -92,7 +96,7 @@
   CHECK(Q.size() == 1);
 }
 
-TEST_CASE("what cannot start does not block what can") {
+TEST_CASE("an attempt that cannot start does not block others") {
   RankQueue Q(RankQueue::Options(), {0.5, 0.5}, {});
   Q.push(item(1, 0));
   Q.push(item(2, 1));
