--- a/routing/candidate_choice.cc
+++ b/routing/candidate_choice.cc
@@ -1,5 +1,6 @@
-// The adaptive cost adds the expected wait, what the request would slow down
-// others, and what the evicted adapter is worth. One pass over the candidates.
+// The adaptive cost is the sum of the expected wait, the slowdown that the
+// request causes to others, and the demand for the adapter that a load would
+// evict. A choice takes one pass over the candidates.
 #include "routing/candidate_choice.h"
 
 #include <array>
@@ -9,12 +10,13 @@
 
 namespace {
 
-// Seconds of cost for each attempt already there: a larger batch steps slower.
-constexpr double LoadCost = 0.03;
-// Seconds of cost per unit of demand of the adapter that a load would evict.
-constexpr double EvictionCost = 0.1;
-// Seconds by which an earlier rendezvous position is preferred.
-constexpr double PositionCost = 0.02;
+// Cost per attempt that the upstream already has: a larger batch takes longer
+// per step.
+constexpr double SecondsPerAttempt = 0.03;
+// Cost per unit of demand for the adapter that a load would evict.
+constexpr double SecondsPerVictimValue = 0.1;
+// Cost per position in rendezvous order, so that earlier ones are preferred.
+constexpr double SecondsPerPosition = 0.02;
 constexpr size_t AdaptiveCandidates = 4;
 
 size_t chooseCheapest(std::span<const Candidate> All, Random &) {
@@ -26,20 +28,20 @@
   return Best;
 }
 
-size_t chooseRandom(std::span<const Candidate> All, Random &R) {
+size_t chooseRandom(std::span<const Candidate> All, Random &Rand) {
   assert(!All.empty());
-  return R.below(All.size());
+  return Rand.below(All.size());
 }
 
-// Ties are broken at random, or all callers would pick the same side.
-size_t chooseLeastLoaded(std::span<const Candidate> All, Random &R) {
+// Ties are broken at random; otherwise all callers would pick the same side.
+size_t chooseLeastLoaded(std::span<const Candidate> All, Random &Rand) {
   assert(!All.empty());
-  const size_t Start = R.below(All.size());
+  const size_t Start = Rand.below(All.size());
   size_t Best = Start;
   for (size_t I = 0; I < All.size(); ++I) {
-    const size_t At = (Start + I) % All.size();
-    if (All[At].Load < All[Best].Load)
-      Best = At;
+    const size_t Index = (Start + I) % All.size();
+    if (All[Index].Load < All[Best].Load)
+      Best = Index;
   }
   return Best;
 }
@@ -59,10 +61,11 @@
 } // namespace
 
 double candidateCost(const Candidate &C, size_t Position) {
-  double Cost = seconds(C.Wait) + LoadCost * static_cast<double>(C.Load) +
-                PositionCost * static_cast<double>(Position);
+  double Cost = seconds(C.Wait) +
+                SecondsPerAttempt * static_cast<double>(C.Load) +
+                SecondsPerPosition * static_cast<double>(Position);
   if (!C.Resident && !C.Loading)
-    Cost += EvictionCost * C.VictimValue;
+    Cost += SecondsPerVictimValue * C.VictimValue;
   return Cost;
 }
 
--- a/routing/rendezvous.cc
+++ b/routing/rendezvous.cc
@@ -1,4 +1,4 @@
-// One hash per upstream and a partial sort of the best Count.
+// Computes one hash per upstream and partially sorts the Count highest.
 #include "routing/rendezvous.h"
 
 #include <algorithm>
--- a/routing/rendezvous.h
+++ b/routing/rendezvous.h
@@ -1,5 +1,6 @@
-// Rendezvous (highest random weight) hashing: each key gets its own order of
-// the upstreams, which changes little when upstreams come and go.
+// Rendezvous (highest random weight) hashing: each key has its own order of the
+// upstreams. Adding or removing an upstream doesn't change the relative order
+// of the others.
 //
 //   auto Order = rendezvousOrder(SlotHash, Upstreams, 4);
 #ifndef GOLDCRESTLINK_ROUTING_RENDEZVOUS_H
@@ -12,7 +13,8 @@
 
 namespace goldcrestlink {
 
-/// The first \p Count of \p Upstreams in \p Key's order. Thread-safe.
+/// Returns the first \p Count of \p Upstreams in the order of \p Key, or all of
+/// them if there are fewer. Thread-safe.
 std::vector<const UpstreamDecl *>
 rendezvousOrder(uint64_t Key, std::span<const UpstreamDecl *const> Upstreams,
                 size_t Count);
--- a/routing/retry_budget.h
+++ b/routing/retry_budget.h
@@ -1,5 +1,5 @@
-// Bounds retries to a fraction of requests, so that failures cannot multiply
-// the load.
+// Limits retries to a fraction of the requests, so that failures do not
+// multiply the load.
 //
 //   RetryBudget B(0.2, 50);
 //   B.onRequest();
@@ -14,22 +14,23 @@
 /// Not thread-safe.
 class RetryBudget {
 public:
-  /// Each request earns \p PerRequest retries, saved up to \p Max.
+  /// Each request adds \p PerRequest retries to the budget, which holds at most
+  /// \p Max and starts full.
   RetryBudget(double PerRequest, double Max)
-      : PerRequest(PerRequest), Max(Max), Saved(Max) {}
-  void onRequest() { Saved = std::min(Max, Saved + PerRequest); }
-  /// Takes one retry; false if none is left.
+      : PerRequest(PerRequest), Max(Max), Available(Max) {}
+  void onRequest() { Available = std::min(Max, Available + PerRequest); }
+  /// Takes one retry; returns false if none is left.
   bool take() {
-    if (Saved < 1)
+    if (Available < 1)
       return false;
-    Saved -= 1;
+    Available -= 1;
     return true;
   }
 
 private:
   double PerRequest;
   double Max;
-  double Saved;
+  double Available;
 };
 
 } // namespace goldcrestlink
--- a/routing/side_view.cc
+++ b/routing/side_view.cc
@@ -1,71 +1,73 @@
-// The steps are Fine -> Reset -> Unreachable; any message heard leads back to
-// Fine. An unreachable side is asked again every unreachablePause, each time
-// on a new connection. Constant memory: an engine has few slots.
+// The steps are Fine, Reset, Unreachable; any message received leads back to
+// Fine. An unreachable side is tried again after each unreachableBackoff(),
+// each time on a new connection. Memory is bounded by the engine's adapter
+// slots, and all operations but the update of the resident adapters take
+// constant time.
 #include "routing/side_view.h"
 
 #include <algorithm>
 
 namespace goldcrestlink {
 
-void SideView::asked(Time N) {
-  if (AskedAt == Time{})
-    AskedAt = N;
+void SideView::asked(Time Now) {
+  if (ReplyAwaitedSince == Time{})
+    ReplyAwaitedSince = Now;
 }
 
-void SideView::heard(Time N) {
-  LastHeard = N;
-  AskedAt = Time{};
+void SideView::heard(Time Now) {
+  LastReceived = Now;
+  ReplyAwaitedSince = Time{};
   WasReset = false;
   IsUnreachable = false;
 }
 
-void SideView::learn(Time N, const wire::SideState &State) {
+void SideView::learn(Time Now, const wire::SideState &State) {
   Resident.clear();
   Resident.insert(State.resident().begin(), State.resident().end());
   Running = State.running();
   Waiting = State.waiting();
-  Leaving = State.leaving();
+  Draining = State.leaving();
   Incarnation = State.incarnation();
   Down = State.upstream_down();
   if (Down)
-    DownSince = N;
+    DownSince = Now;
 }
 
-void SideView::setListed(bool IsLeaving, bool IsGone) {
-  ListedLeaving = IsLeaving;
+void SideView::setListed(bool IsDraining, bool IsGone) {
+  ListedDraining = IsDraining;
   ListedGone = IsGone;
 }
 
-SideView::Verdict SideView::judge(Time N, const Options &O,
+SideView::Verdict SideView::judge(Time Now, const Options &Opts,
                                   size_t Outstanding) {
-  if (IsUnreachable && N - UnreachableSince >= O.unreachablePause()) {
-    UnreachableSince = N;
-    AskedAt = N;
+  if (IsUnreachable && Now - UnreachableSince >= Opts.unreachableBackoff()) {
+    UnreachableSince = Now;
+    ReplyAwaitedSince = Now;
     return Verdict::Reset;
   }
-  if (AskedAt == Time{}) {
-    const bool Quiet = N - LastHeard > O.quietLimit();
+  if (ReplyAwaitedSince == Time{}) {
+    const bool Quiet = Now - LastReceived > Opts.quietLimit();
     return Outstanding > 0 && Quiet ? Verdict::Ask : Verdict::Fine;
   }
-  if (IsUnreachable || N - AskedAt <= O.answerTimeout())
+  if (IsUnreachable || Now - ReplyAwaitedSince <= Opts.answerTimeout())
     return Verdict::Fine;
-  AskedAt = N;
+  ReplyAwaitedSince = Now;
   if (!WasReset) {
     WasReset = true;
     return Verdict::Reset;
   }
   IsUnreachable = true;
-  UnreachableSince = N;
+  UnreachableSince = Now;
   return Verdict::Unreachable;
 }
 
-bool SideView::available(Time N, const Options &O) const {
-  if (Leaving || ListedLeaving || IsUnreachable)
+bool SideView::available(Time Now, const Options &Opts) const {
+  if (Draining || ListedDraining || IsUnreachable)
     return false;
-  // Traffic is a better witness than a lagging list.
-  if (ListedGone && N - LastHeard > O.quietLimit())
+  // The list may lag behind, so a recent message outweighs it.
+  if (ListedGone && Now - LastReceived > Opts.quietLimit())
     return false;
-  return !Down || N - DownSince >= O.downPause();
+  return !Down || Now - DownSince >= Opts.downBackoff();
 }
 
 } // namespace goldcrestlink
--- a/routing/side_view.h
+++ b/routing/side_view.h
@@ -1,11 +1,13 @@
-// What an entry knows of one side: learnt from replies, never authoritative.
-// Liveness is judged by questions: a message that wants an answer and gets
-// none first costs the connection, then the side's reputation.
+// An entry's knowledge of one side, taken from the side's messages. It may be
+// out of date and is never authoritative. Liveness is checked by messages that
+// require a reply: if none arrives in time, the connection is replaced first;
+// if the next one also gets no reply, the side counts as unreachable. The entry
+// reports each message that it sends or receives, and checks the side regularly
+// for the next step to take.
 //
 //   SideView V;
-//   V.asked(Now);                       // a message that wants an answer left
-//   V.heard(Now, State);                // anything came back
-//   switch (V.judge(Now)) { case Verdict::Reset: ... }
+//   V.setListed(Draining, Gone);
+//   if (V.available(Now, Opts)) send(Attempt);
 #ifndef GOLDCRESTLINK_ROUTING_SIDE_VIEW_H
 #define GOLDCRESTLINK_ROUTING_SIDE_VIEW_H
 
@@ -25,46 +27,57 @@
   public:
     Duration answerTimeout() const { return AnswerTimeout; }
     Duration quietLimit() const { return QuietLimit; }
-    Duration downPause() const { return DownPause; }
-    Duration unreachablePause() const { return UnreachablePause; }
-    Options &setAnswerTimeout(Duration D) {
-      AnswerTimeout = D;
+    Duration downBackoff() const { return DownBackoff; }
+    Duration unreachableBackoff() const { return UnreachableBackoff; }
+    Options &setAnswerTimeout(Duration NewTimeout) {
+      AnswerTimeout = NewTimeout;
       return *this;
     }
 
   private:
+    // Time-out of a message that requires a reply.
     Duration AnswerTimeout = std::chrono::milliseconds(400);
+    // Time without a message after which the side is not assumed to be alive.
     Duration QuietLimit = std::chrono::seconds(1);
-    Duration DownPause = std::chrono::milliseconds(500);
-    Duration UnreachablePause = std::chrono::seconds(1);
+    // Backoff after a side reported that its upstream is down.
+    Duration DownBackoff = std::chrono::milliseconds(500);
+    // Time between attempts to reach an unreachable side.
+    Duration UnreachableBackoff = std::chrono::seconds(1);
   };
 
   enum class Verdict {
+    /// Nothing to do.
     Fine,
-    /// Work is out and nothing was heard for a while: ask.
+    /// Attempts are open at the side and no message came for quietLimit(): send
+    /// a message that requires a reply.
     Ask,
-    /// The connection may be silent: open another and ask on it.
+    /// The connection may be dead: open a new one and send a message on it that
+    /// requires a reply.
     Reset,
-    /// A second connection was silent too: the side cannot be reached now.
+    /// The new connection got no reply either: the side cannot be reached.
     Unreachable
   };
 
-  /// A message that wants an answer was sent.
-  void asked(Time N);
-  /// A message came.
-  void heard(Time N);
-  /// A message carried the side's state.
-  void learn(Time N, const wire::SideState &State);
-  /// Judges the silence, and takes the judged step: each verdict but Fine is
-  /// given once per step. \p Outstanding attempts are open at the side.
-  Verdict judge(Time N, const Options &O, size_t Outstanding);
-  void setListed(bool Leaving, bool Gone);
+  /// A message that requires a reply was sent.
+  void asked(Time Now);
+  /// A message arrived.
+  void heard(Time Now);
+  /// A message with the side's state arrived.
+  void learn(Time Now, const wire::SideState &State);
+  /// Checks how long the side has been silent and returns the step to take.
+  /// Records the step as taken, so that each is returned once; Fine means that
+  /// there is none. \p Outstanding is the number of attempts open at the side.
+  Verdict judge(Time Now, const Options &Opts, size_t Outstanding);
+  /// Sets whether the published list names the upstream as draining, or no
+  /// longer contains it.
+  void setListed(bool Draining, bool Gone);
 
-  /// True if new work may be sent.
-  bool available(Time N, const Options &O) const;
+  /// Returns whether new attempts may be sent to the side.
+  bool available(Time Now, const Options &Opts) const;
+  /// Returns whether the adapter was resident by the last reported state.
   bool resident(uint64_t SlotHash) const { return Resident.count(SlotHash); }
   bool reachable() const { return !IsUnreachable; }
-  /// Attempts that were running or waiting there when last heard of.
+  /// Attempts running or waiting at the side by the last reported state.
   size_t load() const { return Running + Waiting; }
   uint64_t incarnation() const { return Incarnation; }
 
@@ -73,14 +86,15 @@
   size_t Running = 0;
   size_t Waiting = 0;
   uint64_t Incarnation = 0;
-  bool Leaving = false;
-  bool ListedLeaving = false;
+  bool Draining = false;
+  bool ListedDraining = false;
   bool ListedGone = false;
   Time DownSince{};
   bool Down = false;
-  Time LastHeard{};
-  // Time of the earliest question without an answer since; none if zero.
-  Time AskedAt{};
+  Time LastReceived{};
+  // When the earliest message was sent that still awaits a reply; zero if none
+  // does.
+  Time ReplyAwaitedSince{};
   bool WasReset = false;
   bool IsUnreachable = false;
   Time UnreachableSince{};
