--- a/forward/call.h
+++ b/forward/call.h
@@ -1,5 +1,6 @@
-// A caller's request and what an entry does with it, as plain values between
-// the decisions (forward/forwarder.h) and the shells around them.
+// A caller's request, the terms on which it is sent, and the start of an
+// upstream's answer: plain values that pass between the state machine
+// (forward/forwarder.h) and the I/O layer.
 #ifndef GOLDCRESTLINK_FORWARD_CALL_H
 #define GOLDCRESTLINK_FORWARD_CALL_H
 
@@ -11,16 +12,17 @@
 
 namespace goldcrestlink::forward {
 
-/// What a request asks of a model; Model is empty for plain services.
+/// The model, adapter and size of an inference request.
 struct ModelAsk {
+  /// Empty for requests to plain services.
   std::string Model;
-  /// Empty: the base model itself.
+  /// Empty for the base model itself.
   std::string Adapter;
   uint32_t PromptTokens = 0;
   uint32_t MaxOutputTokens = 0;
 };
 
-/// A caller's request as it was received.
+/// A caller's request as received.
 struct CallerCall {
   /// The caller's id of this attempt; passed on unchanged.
   std::string RequestId;
@@ -28,10 +30,10 @@
   /// Path and query, unchanged.
   std::string Target;
   std::string Host;
-  /// Fields to pass on; those that only the system may set are left out.
+  /// Header fields to forward, without those that only the system may set.
   http::Headers Fields;
   std::string Body;
-  /// How long the caller will wait; zero if it did not say.
+  /// How long the caller will wait; zero if the caller did not state it.
   Duration TimeLeft{};
   ModelAsk Ask;
 };
@@ -40,33 +42,39 @@
 struct SendTerms {
   UpstreamRecord To;
   Duration TimeLeft{};
-  /// The adapter version that is to serve it; 0: any.
+  /// Adapter version that must serve the call; 0 for any.
   uint64_t Version = 0;
   uint32_t Rank = 0;
   bool IsEngine = false;
-  /// Id of the last event that the caller has; empty: from the start.
+  /// Id of the last event that the caller has received; empty to send the
+  /// stream from its start.
   std::string AfterEvent;
 };
 
-/// How an upstream's answer begins, its fields decoded.
+/// Status and decoded header fields of an upstream's answer.
 struct AnswerHead {
   unsigned Status = 0;
   http::Headers Fields;
-  /// The upstream states that it has not run the request.
+  /// The upstream states that it did not run the request.
   bool NotRun = false;
   /// The answer bears the upstream's signature.
   bool Signed = false;
-  /// The answer names another request: it belongs to nobody here.
+  /// The answer carries the id of another request, so it must not be used.
   bool OtherRequest = false;
-  /// Set with NotRun if another incarnation answers at the address.
+  /// Set together with NotRun if another incarnation of the upstream answers
+  /// at the address.
   bool OtherInstance = false;
   bool EventStream = false;
-  /// The body has a content encoding, which no upstream was asked for.
+  /// The body has a content encoding, although the entry requests none.
   bool Encoded = false;
 };
 
-/// How a send failed.
-enum class SendError { NotSent, Broken };
+enum class SendError {
+  /// Nothing was sent: the upstream cannot have run the request.
+  NotSent,
+  /// The connection failed later: the upstream may have run the request.
+  Broken
+};
 
 } // namespace goldcrestlink::forward
 
--- a/forward/engine_board.cc
+++ b/forward/engine_board.cc
@@ -1,8 +1,10 @@
-// Each adapter has its own rendezvous order of the engines; its first few are
-// its homes, as many as its demand needs. A cold adapter thus returns to the
-// one engine that still has it close at hand, and a hot one gets replicas. The
-// cost of an engine is the wait for its prompts, plus a load if it does not
-// hold the adapter. One ranking looks at each engine once.
+// Each adapter has its own rendezvous order of the engines. The first engines
+// in that order are its preferred engines, as many as its demand needs. A
+// rarely used adapter thus returns to the engine that can reload it fastest,
+// and a heavily used one gets replicas. The expected time to the first token is
+// the prefill time of the queued prompts and of the request's own prompt, plus
+// a load if the engine does not hold the adapter. One ranking visits each
+// engine once and sorts twice.
 #include "forward/engine_board.h"
 
 #include <algorithm>
@@ -15,12 +17,15 @@
 namespace {
 // Time constant over which demand is averaged.
 constexpr double DemandSeconds = 5.0;
-// A rise is seen over this time, from this many arrivals at all entries on;
-// fewer may be chance.
-constexpr double QuickSeconds = 0.7;
-constexpr double ChanceArrivals = 18;
-// One large prompt is no sign of lasting demand.
+// Time constant over which a sudden rise in demand is detected.
+constexpr double ShortTermSeconds = 0.7;
+// Arrivals at all entries within the short term that may be random fluctuation;
+// only more than these count as a rise.
+constexpr double NoiseArrivals = 18;
+// Prompt tokens counted per request at most: a single large prompt does not
+// show lasting demand.
 constexpr uint32_t MaxDemandTokens = 1500;
+// Prompt tokens per millisecond, while no engine has reported its rate.
 constexpr double DefaultPrefillRate = 20;
 
 double decay(Duration Age, double TimeConstant) {
@@ -28,148 +33,159 @@
 }
 } // namespace
 
-void EngineBoard::onLoad(Time N, const std::string &Id,
-                         const EngineLoad &Load) {
-  View &V = Views[Id];
-  V.Load = Load;
-  V.Known = true;
+void EngineRanker::onLoad(Time Now, const std::string &Id,
+                          const EngineLoad &Load) {
+  EngineState &State = States[Id];
+  State.Load = Load;
+  State.Known = true;
   for (size_t Row = 0; Row < BacklogRanks; ++Row)
-    V.Free[Row] = N + Load.Backlog[Row];
-  V.SilentUntil = Time{};
+    State.BacklogEnd[Row] = Now + Load.Backlog[Row];
+  State.SideBackoffUntil = Time{};
 }
 
-void EngineBoard::onDemand(Time N, const EngineWant &Want) {
-  if (Want.Adapter.empty())
+void EngineRanker::onDemand(Time Now, const EngineRequirements &Required) {
+  if (Required.Adapter.empty())
     return;
   if (Demands.size() >= Opts.maxAdapters())
     std::erase_if(Demands, [&](const auto &Item) {
-      return N - Item.second.At > std::chrono::seconds(10);
+      return Now - Item.second.UpdatedAt > std::chrono::seconds(10);
     });
   if (Demands.size() >= Opts.maxAdapters())
     return;
-  Demand &D = Demands[adapterName(Want.Model, Want.Adapter)];
-  const double Tokens = std::min(Want.PromptTokens, MaxDemandTokens);
-  const double QuickLeft = decay(N - D.At, QuickSeconds);
-  D.TokenRate =
-      D.TokenRate * decay(N - D.At, DemandSeconds) + Tokens / DemandSeconds;
-  D.QuickCount = D.QuickCount * QuickLeft + 1;
-  D.QuickTokens = D.QuickTokens * QuickLeft + Tokens;
-  D.At = N;
+  Demand &D = Demands[adapterName(Required.Model, Required.Adapter)];
+  const double Tokens = std::min(Required.PromptTokens, MaxDemandTokens);
+  const double ShortTermDecay = decay(Now - D.UpdatedAt, ShortTermSeconds);
+  D.TokenRate = D.TokenRate * decay(Now - D.UpdatedAt, DemandSeconds) +
+                Tokens / DemandSeconds;
+  D.ShortTermCount = D.ShortTermCount * ShortTermDecay + 1;
+  D.ShortTermTokens = D.ShortTermTokens * ShortTermDecay + Tokens;
+  D.UpdatedAt = Now;
 }
 
-double EngineBoard::tokenRate(Time N, const std::string &Name) const {
+double EngineRanker::tokenRate(Time Now, const std::string &Name) const {
   const auto It = Demands.find(Name);
   if (It == Demands.end())
     return 0;
   const Demand &D = It->second;
-  const double QuickLeft = decay(N - D.At, QuickSeconds);
-  const double Count = D.QuickCount * QuickLeft * static_cast<double>(Entries);
-  const double Quick = D.QuickTokens * QuickLeft / QuickSeconds *
-                       std::max(0.0, 1 - ChanceArrivals / std::max(Count, 1.0));
-  return std::max(D.TokenRate * decay(N - D.At, DemandSeconds), Quick);
+  const double ShortTermDecay = decay(Now - D.UpdatedAt, ShortTermSeconds);
+  const double Count =
+      D.ShortTermCount * ShortTermDecay * static_cast<double>(Entries);
+  const double ShortTermRate =
+      D.ShortTermTokens * ShortTermDecay / ShortTermSeconds *
+      std::max(0.0, 1 - NoiseArrivals / std::max(Count, 1.0));
+  return std::max(D.TokenRate * decay(Now - D.UpdatedAt, DemandSeconds),
+                  ShortTermRate);
 }
 
-void EngineBoard::onSent(Time N, const std::string &Id,
-                         const EngineWant &Want) {
-  View &V = Views[Id];
-  const Duration Reading(
-      static_cast<int64_t>(Want.PromptTokens * 1000.0 / V.Load.PrefillRate));
-  // More urgent prompts are read first, so they do not wait for this one.
-  for (size_t Row = backlogRow(Want.Rank); Row < BacklogRanks; ++Row)
-    V.Free[Row] = std::max(V.Free[Row], N) + Reading;
+void EngineRanker::onSent(Time Now, const std::string &Id,
+                          const EngineRequirements &Required) {
+  EngineState &State = States[Id];
+  const Duration PrefillTime(static_cast<int64_t>(
+      Required.PromptTokens * 1000.0 / State.Load.PrefillRate));
+  // The engine prefills more urgent prompts first, so they do not wait for this
+  // one.
+  for (size_t Row = backlogRow(Required.Rank); Row < BacklogRanks; ++Row)
+    State.BacklogEnd[Row] = std::max(State.BacklogEnd[Row], Now) + PrefillTime;
 }
 
-void EngineBoard::onOutcome(Time N, const std::string &Id, bool Failed) {
-  Views[Id].Health.onOutcome(N, Failed);
+void EngineRanker::onOutcome(Time Now, const std::string &Id, bool Failed) {
+  States[Id].Health.onOutcome(Now, Failed);
 }
 
-void EngineBoard::onSideSilent(Time N, const std::string &Id) {
-  Views[Id].SilentUntil = N + Opts.silencePause();
+void EngineRanker::onSideSilent(Time Now, const std::string &Id) {
+  States[Id].SideBackoffUntil = Now + Opts.unresponsiveBackoff();
 }
 
-void EngineBoard::onSideAnswered(const std::string &Id) {
-  Views[Id].SilentUntil = Time{};
+void EngineRanker::onSideAnswered(const std::string &Id) {
+  States[Id].SideBackoffUntil = Time{};
 }
 
-void EngineBoard::onUnreachable(Time N, const std::string &Id) {
-  Views[Id].Health.onUnreachable(N, Opts.silencePause());
+void EngineRanker::onUnreachable(Time Now, const std::string &Id) {
+  States[Id].Health.onUnreachable(Now, Opts.unresponsiveBackoff());
 }
 
-void EngineBoard::onReplaced(const std::string &Id) {
-  Views[Id].Health.onReplaced();
+void EngineRanker::onReplaced(const std::string &Id) {
+  States[Id].Health.onReplaced();
 }
 
-void EngineBoard::retain(const std::map<std::string, UpstreamRecord> &Known) {
-  std::erase_if(Views,
+void EngineRanker::retain(const std::map<std::string, UpstreamRecord> &Known) {
+  std::erase_if(States,
                 [&](const auto &Item) { return !Known.contains(Item.first); });
 }
 
-double EngineBoard::meanPrefillRate() const {
+double EngineRanker::meanPrefillRate() const {
   double Sum = 0;
   size_t Count = 0;
-  for (const auto &[Id, V] : Views)
-    if (V.Known) {
-      Sum += V.Load.PrefillRate;
+  for (const auto &[Id, State] : States)
+    if (State.Known) {
+      Sum += State.Load.PrefillRate;
       ++Count;
     }
   return Count == 0 ? DefaultPrefillRate : Sum / static_cast<double>(Count);
 }
 
-size_t EngineBoard::homes(Time N, const EngineWant &Want) const {
-  if (Want.Adapter.empty())
+size_t
+EngineRanker::preferredEngines(Time Now,
+                               const EngineRequirements &Required) const {
+  if (Required.Adapter.empty())
     return 0;
-  const double Busy = tokenRate(N, adapterName(Want.Model, Want.Adapter)) *
-                      static_cast<double>(Entries) /
-                      (meanPrefillRate() * 1000.0);
-  return 1 + static_cast<size_t>(Busy / Opts.homeUtilisation());
+  const double PrefillLoad =
+      tokenRate(Now, adapterName(Required.Model, Required.Adapter)) *
+      static_cast<double>(Entries) / (meanPrefillRate() * 1000.0);
+  return 1 + static_cast<size_t>(PrefillLoad / Opts.adapterUtilisationLimit());
 }
 
-std::vector<EngineCandidate>
-EngineBoard::rank(Time N, const EngineWant &Want,
-                  std::span<const UpstreamRecord *const> Among) const {
-  const uint32_t Wanted = adapterHash(Want.Model, Want.Adapter);
-  const uint64_t Key = hash64(adapterName(Want.Model, Want.Adapter));
+std::vector<EngineCandidate> EngineRanker::rank(
+    Time Now, const EngineRequirements &Required,
+    std::span<const UpstreamRecord *const> ReadyUpstreams) const {
+  const uint32_t AdapterHash = adapterHash(Required.Model, Required.Adapter);
+  const uint64_t Key = hash64(adapterName(Required.Model, Required.Adapter));
   std::vector<std::pair<uint64_t, const UpstreamRecord *>> Order;
-  for (const UpstreamRecord *U : Among)
+  for (const UpstreamRecord *U : ReadyUpstreams)
     Order.emplace_back(mixHash(Key, hash64(U->Id)), U);
   std::sort(Order.begin(), Order.end(), std::greater<>());
-  const size_t Homes = homes(N, Want);
+  const size_t PreferredCount = preferredEngines(Now, Required);
   std::vector<EngineCandidate> Out;
-  static const View Unknown;
+  static const EngineState Unknown;
   size_t Position = 0;
   for (const auto &[Score, U] : Order) {
-    const auto It = Views.find(U->Id);
-    const View &V = It == Views.end() ? Unknown : It->second;
-    if (!V.Health.usable(N) || (V.Known && !V.Load.Serving))
+    const auto It = States.find(U->Id);
+    const EngineState &State = It == States.end() ? Unknown : It->second;
+    if (!State.Health.usable(Now) || (State.Known && !State.Load.Serving))
       continue;
-    EngineCandidate C;
-    C.Upstream = U;
-    C.IsHome = Position < Homes;
+    EngineCandidate Candidate;
+    Candidate.Upstream = U;
+    Candidate.IsPreferred = Position < PreferredCount;
     ++Position;
-    C.SideAnswers = N >= V.SilentUntil;
-    C.Holds = Want.Adapter.empty() ||
-              std::find(V.Load.Held.begin(), V.Load.Held.end(), Wanted) !=
-                  V.Load.Held.end();
-    if (!C.SideAnswers && !C.Holds)
+    Candidate.SideAnswers = Now >= State.SideBackoffUntil;
+    Candidate.HoldsAdapter =
+        Required.Adapter.empty() ||
+        std::find(State.Load.Held.begin(), State.Load.Held.end(),
+                  AdapterHash) != State.Load.Held.end();
+    if (!Candidate.SideAnswers && !Candidate.HoldsAdapter)
       continue;
-    C.Expected = std::max(Duration(0), V.Free[backlogRow(Want.Rank)] - N) +
-                 Duration(static_cast<int64_t>(Want.PromptTokens * 1000.0 /
-                                               V.Load.PrefillRate));
-    if (!C.Holds)
-      C.Expected += C.IsHome ? Opts.homeLoadTime() : Opts.loadTime();
-    C.Cost = C.Expected;
-    C.Cost += Duration(static_cast<int64_t>(
-        V.Load.Utilisation * V.Load.Utilisation *
+    Candidate.Expected =
+        std::max(Duration(0),
+                 State.BacklogEnd[backlogRow(Required.Rank)] - Now) +
+        Duration(static_cast<int64_t>(Required.PromptTokens * 1000.0 /
+                                      State.Load.PrefillRate));
+    if (!Candidate.HoldsAdapter)
+      Candidate.Expected +=
+          Candidate.IsPreferred ? Opts.preferredLoadTime() : Opts.loadTime();
+    Candidate.Cost = Candidate.Expected;
+    Candidate.Cost += Duration(static_cast<int64_t>(
+        State.Load.Utilisation * State.Load.Utilisation *
         static_cast<double>(Opts.utilisationCost().count())));
-    C.Cost += Opts.runningCost() * static_cast<int64_t>(V.Load.Running);
-    if (!C.Holds && !C.IsHome)
-      C.Cost += Opts.strayCopyCost();
+    Candidate.Cost +=
+        Opts.runningCost() * static_cast<int64_t>(State.Load.Running);
+    if (!Candidate.HoldsAdapter && !Candidate.IsPreferred)
+      Candidate.Cost += Opts.extraCopyCost();
     if (U->DataCentre != Opts.dataCentre())
-      C.Cost += Opts.distanceCost();
-    C.Cost += Duration(
-        static_cast<int64_t>(V.Health.failureShare(N) *
+      Candidate.Cost += Opts.distanceCost();
+    Candidate.Cost += Duration(
+        static_cast<int64_t>(State.Health.failureShare(Now) *
                              static_cast<double>(Opts.failureCost().count())));
-    Out.push_back(C);
+    Out.push_back(Candidate);
   }
   std::stable_sort(Out.begin(), Out.end(),
                    [](const EngineCandidate &A, const EngineCandidate &B) {
--- a/forward/engine_board.h
+++ b/forward/engine_board.h
@@ -1,10 +1,12 @@
-// What an entry knows of each engine's load, and where it would send a request
-// for an adapter: the engine at which the first token is expected soonest.
+// Tracks the load, held adapters and health of each engine as this entry knows
+// them, and ranks the engines for a request. The cheapest engine is the one
+// where the first token is expected soonest, with costs added for distance,
+// failures and extra copies of an adapter.
 //
-//   EngineBoard B(EngineBoard::Options().setDataCentre("dc-1"));
-//   B.onLoad(N, "id-1", Load);
-//   B.onDemand(N, Model, Adapter);
-//   auto Ranked = B.rank(N, Want, Upstreams);     // best first
+//   EngineRanker R(EngineRanker::Options().setDataCentre("dc-1"));
+//   R.onLoad(Now, "id-1", Load);
+//   R.onDemand(Now, Required);
+//   auto Ranked = R.rank(Now, Required, Upstreams);     // cheapest first
 #ifndef GOLDCRESTLINK_FORWARD_ENGINE_BOARD_H
 #define GOLDCRESTLINK_FORWARD_ENGINE_BOARD_H
 
@@ -22,46 +24,50 @@
 
 namespace goldcrestlink::forward {
 
-/// What a request needs of an engine.
-struct EngineWant {
+/// What a request requires of an engine.
+struct EngineRequirements {
   std::string Model;
+  /// Empty for the base model itself.
   std::string Adapter;
+  /// Released version of the adapter; 0 if none is known.
   uint64_t Version = 0;
   uint32_t PromptTokens = 0;
   uint32_t Rank = 0;
 };
 
-/// One engine as a candidate.
+/// An engine as a candidate for one request.
 struct EngineCandidate {
   const UpstreamRecord *Upstream = nullptr;
   /// Expected time to the first token.
   Duration Expected{};
-  /// Expected plus what is charged for distance, failures and replicas.
+  /// Expected plus the costs of distance, failures, load and extra copies.
   Duration Cost{};
-  bool Holds = false;
-  /// The side beside it answers.
+  /// The engine holds the adapter.
+  bool HoldsAdapter = false;
+  /// The side beside the engine answers.
   bool SideAnswers = true;
-  /// One of the engines that should hold the adapter at its present demand.
-  bool IsHome = false;
+  /// The engine is one of those that should hold the adapter, given its present
+  /// demand.
+  bool IsPreferred = false;
 };
 
 /// Not thread-safe. Memory is bounded by the upstreams known and by
 /// Options::maxAdapters().
-class EngineBoard {
+class EngineRanker {
 public:
   class Options {
   public:
     const std::string &dataCentre() const { return DataCentre; }
     size_t maxAdapters() const { return MaxAdapters; }
     Duration loadTime() const { return LoadTime; }
-    Duration homeLoadTime() const { return HomeLoadTime; }
+    Duration preferredLoadTime() const { return PreferredLoadTime; }
     Duration distanceCost() const { return DistanceCost; }
-    Duration strayCopyCost() const { return StrayCopyCost; }
+    Duration extraCopyCost() const { return ExtraCopyCost; }
     Duration runningCost() const { return RunningCost; }
     Duration utilisationCost() const { return UtilisationCost; }
     Duration failureCost() const { return FailureCost; }
-    double homeUtilisation() const { return HomeUtilisation; }
-    Duration silencePause() const { return SilencePause; }
+    double adapterUtilisationLimit() const { return AdapterUtilisationLimit; }
+    Duration unresponsiveBackoff() const { return UnresponsiveBackoff; }
     Options &setDataCentre(std::string Name) {
       DataCentre = std::move(Name);
       return *this;
@@ -74,89 +80,103 @@
   private:
     std::string DataCentre;
     size_t MaxAdapters = 8192;
-    // Expected time of a load from the weight store.
+    // Expected time to load an adapter from the weight store.
     Duration LoadTime = std::chrono::milliseconds(280);
-    // Charged for a copy away from the adapter's homes: it takes a slot from
-    // others and a load from the store, for a wait that would soon pass.
-    Duration StrayCopyCost = std::chrono::milliseconds(500);
-    // At a home the adapter was often held recently and comes back faster.
-    Duration HomeLoadTime = std::chrono::milliseconds(120);
-    // Bytes between data centres are dear; waits below this are alike.
+    // Cost of loading the adapter on an engine that is not a preferred one: the
+    // copy takes a slot from other adapters and a load from the weight store,
+    // to avoid a wait that would soon be over.
+    Duration ExtraCopyCost = std::chrono::milliseconds(500);
+    // Expected time to load an adapter on a preferred engine, which often held
+    // it recently and then loads it faster.
+    Duration PreferredLoadTime = std::chrono::milliseconds(120);
+    // Cost of an engine in another data centre. Traffic between data centres is
+    // expensive and only worth it to avoid a longer wait than this.
     Duration DistanceCost = std::chrono::milliseconds(15);
-    // Each request that an engine runs slows down all others a little.
+    // Cost per running request: each slows down all others a little.
     Duration RunningCost = std::chrono::milliseconds(3);
-    // Charged, by the square of its utilisation, for an engine whose time goes
-    // into reading prompts: all streams that it runs slow down.
+    // Cost of an engine that spends all its time on prefill, which slows down
+    // all streams that it runs. Scales with the square of the utilisation.
     Duration UtilisationCost = std::chrono::milliseconds(500);
-    // Charged in full for an upstream that fails everything.
+    // Cost of an engine whose recent calls all failed. Scales with the share of
+    // failed calls.
     Duration FailureCost = std::chrono::seconds(2);
-    // Share of an engine's prompt reading that one adapter may take before it
-    // gets a further home.
-    double HomeUtilisation = 0.3;
-    // A side or engine that did not answer is left alone this long.
-    Duration SilencePause = std::chrono::milliseconds(700);
+    // Share of one engine's prefill time that an adapter may use before it gets
+    // a further preferred engine.
+    double AdapterUtilisationLimit = 0.3;
+    // Backoff after a side or an engine did not answer.
+    Duration UnresponsiveBackoff = std::chrono::milliseconds(700);
   };
 
-  explicit EngineBoard(Options O) : Opts(std::move(O)) {}
+  explicit EngineRanker(Options O) : Opts(std::move(O)) {}
 
   // Commands.
 
-  void onLoad(Time N, const std::string &Id, const EngineLoad &Load);
+  /// A load report of the engine arrived.
+  void onLoad(Time Now, const std::string &Id, const EngineLoad &Load);
   /// A request for the adapter arrived at this entry.
-  void onDemand(Time N, const EngineWant &Want);
-  /// A request was sent, or is about to be.
-  void onSent(Time N, const std::string &Id, const EngineWant &Want);
-  void onOutcome(Time N, const std::string &Id, bool Failed);
-  /// The side beside the engine did not answer in time, or does again.
-  void onSideSilent(Time N, const std::string &Id);
+  void onDemand(Time Now, const EngineRequirements &Required);
+  /// An admission request was sent to the engine's side. Adds the prompt to the
+  /// engine's known backlog until its next load report.
+  void onSent(Time Now, const std::string &Id,
+              const EngineRequirements &Required);
+  /// A call that was sent to the engine has ended.
+  void onOutcome(Time Now, const std::string &Id, bool Failed);
+  /// The side beside the engine did not answer in time.
+  void onSideSilent(Time Now, const std::string &Id);
+  /// The side beside the engine answered.
   void onSideAnswered(const std::string &Id);
-  /// The engine refused connections or did not take them.
-  void onUnreachable(Time N, const std::string &Id);
-  /// Another incarnation answers at its address; the id is never used again.
+  /// The engine refused a connection or did not accept it in time.
+  void onUnreachable(Time Now, const std::string &Id);
+  /// Another incarnation answers at the engine's address; the id is never used
+  /// again.
   void onReplaced(const std::string &Id);
-  /// Entries that share the demand, this one included.
+  /// Sets the number of entries that share the demand, this one included.
   void setEntries(size_t Count) { Entries = std::max<size_t>(1, Count); }
-  /// Forgets upstreams that are not in \p Known.
+  /// Removes upstreams that are not in \p Known.
   void retain(const std::map<std::string, UpstreamRecord> &Known);
 
   // Queries.
 
-  /// Engines that may be used now, cheapest first. \p Among are those of the
-  /// service that are ready.
+  /// Returns the engines among \p ReadyUpstreams that may be used now, cheapest
+  /// first. \p ReadyUpstreams are the upstreams of the service that are not
+  /// draining.
   std::vector<EngineCandidate>
-  rank(Time N, const EngineWant &Want,
-       std::span<const UpstreamRecord *const> Among) const;
-  /// Engines that ought to hold the adapter at its present demand.
-  size_t homes(Time N, const EngineWant &Want) const;
+  rank(Time Now, const EngineRequirements &Required,
+       std::span<const UpstreamRecord *const> ReadyUpstreams) const;
+  /// Number of engines that should hold the adapter, given its present demand.
+  size_t preferredEngines(Time Now, const EngineRequirements &Required) const;
   size_t entries() const { return Entries; }
 
 private:
-  struct View {
+  struct EngineState {
     EngineLoad Load;
     bool Known = false;
-    // By rank, when the prompts known to stand at the engine will have been
-    // read.
-    std::array<Time, BacklogRanks> Free{};
+    // By backlog rank: when the engine is expected to finish the prefill of all
+    // prompts known to be queued there at this rank or a more urgent one.
+    std::array<Time, BacklogRanks> BacklogEnd{};
     UpstreamHealth Health;
-    Time SilentUntil{};
+    Time SideBackoffUntil{};
   };
-  // At this entry. The quick mean sees a rise within a second; what chance
-  // may give does not count.
+  // Demand for one adapter at this entry. The short-term mean shows a rise
+  // within a second; it is discounted for random fluctuation.
   struct Demand {
-    // Prompt tokens per second over DemandSeconds.
+    // Prompt tokens per second, averaged over DemandSeconds.
     double TokenRate = 0;
-    // Arrivals, and their prompt tokens, over QuickSeconds.
-    double QuickCount = 0;
-    double QuickTokens = 0;
-    Time At{};
+    // Decayed sums of arrivals and of their prompt tokens over
+    // ShortTermSeconds.
+    double ShortTermCount = 0;
+    double ShortTermTokens = 0;
+    Time UpdatedAt{};
   };
 
-  double tokenRate(Time N, const std::string &Name) const;
+  /// Prompt tokens per second for an adapter at this entry.
+  double tokenRate(Time Now, const std::string &Name) const;
+  /// Mean over the known engines, in prompt tokens per millisecond.
   double meanPrefillRate() const;
 
   Options Opts;
   size_t Entries = 4;
-  std::unordered_map<std::string, View> Views;
+  std::unordered_map<std::string, EngineState> States;
   std::unordered_map<std::string, Demand> Demands;
 };
 
--- a/forward/event_splitter.cc
+++ b/forward/event_splitter.cc
@@ -1,6 +1,6 @@
-// An event ends with an empty line. Only the unfinished tail is kept, and the
-// search starts where the last one ended, so each byte is looked at a constant
-// number of times.
+// An event ends with an empty line. Only the bytes after the last complete
+// event are kept. feed() searches the kept bytes again with each new part, so
+// its cost is bounded by the size of the incomplete event plus the new part.
 #include "forward/event_splitter.h"
 
 namespace goldcrestlink::forward {
@@ -16,19 +16,19 @@
     End = CrLf + 4;
   if (End == std::string::npos)
     return {};
-  std::string Whole;
+  std::string Complete;
   if (End == Partial.size()) {
-    Whole.swap(Partial);
+    Complete.swap(Partial);
   } else {
-    Whole = Partial.substr(0, End);
+    Complete = Partial.substr(0, End);
     Partial.erase(0, End);
   }
-  noteIds(Whole);
-  return Whole;
+  updateLastId(Complete);
+  return Complete;
 }
 
-void EventSplitter::noteIds(std::string_view Events) {
-  // The last "id:" line counts.
+void EventSplitter::updateLastId(std::string_view Events) {
+  // Only the last "id:" line matters.
   size_t At = Events.rfind("\nid:");
   if (At == std::string_view::npos) {
     if (!Events.starts_with("id:"))
--- a/forward/event_splitter.h
+++ b/forward/event_splitter.h
@@ -1,8 +1,8 @@
-// Cuts a stream of server-sent events at event boundaries, so that only whole
-// events reach a caller, and remembers the last event's id.
+// Splits a stream of server-sent events at event boundaries, so that only
+// complete events reach a caller, and records the last event's id.
 //
 //   EventSplitter S;
-//   std::string Whole = S.feed(Bytes);   // events that are complete now
+//   std::string Complete = S.feed(Bytes);   // events completed by these bytes
 //   S.lastId();
 #ifndef GOLDCRESTLINK_FORWARD_EVENT_SPLITTER_H
 #define GOLDCRESTLINK_FORWARD_EVENT_SPLITTER_H
@@ -16,19 +16,19 @@
 /// Not thread-safe. Holds at most one incomplete event.
 class EventSplitter {
 public:
-  /// Takes \p Bytes and returns the whole events that they complete.
+  /// Appends \p Bytes and returns the events that are complete as a result.
   std::string feed(std::string_view Bytes);
-  /// Id of the last whole event; empty if none had one.
+  /// Id of the last complete event that had one; empty if none had.
   const std::string &lastId() const { return LastId; }
-  /// Bytes of an event that is not whole yet.
+  /// Number of bytes held of an incomplete event.
   size_t pending() const { return Partial.size(); }
-  /// Forgets an incomplete event: its upstream is gone.
+  /// Discards an incomplete event, whose upstream has failed.
   void dropPartial() { Partial.clear(); }
-  /// Takes the bytes after the last whole event.
+  /// Returns and removes the bytes after the last complete event.
   std::string takePartial() { return std::exchange(Partial, {}); }
 
 private:
-  void noteIds(std::string_view Events);
+  void updateLastId(std::string_view Events);
 
   std::string Partial;
   std::string LastId;
--- a/forward/forwarder.cc
+++ b/forward/forwarder.cc
@@ -1,11 +1,12 @@
-// A call to an engine is placed by asking the side beside the cheapest engine
-// for admission; the call is sent when the side says go. A side that does not
-// answer is passed over, or, if its engine is known to hold the adapter, the
-// call is sent there directly: the engine's own refusal is true in any case. A
-// call to a plain service is sent at once or waits in a short queue.
-// What happens to a call once it is sent is in forwarder_sends.cc.
+// To place a call on an engine, the entry requests admission from the side
+// beside the cheapest engine, and sends the call once the side replies Go. A
+// side that does not answer is skipped; but if its engine is known to hold the
+// adapter, the call is sent there directly, since an engine reliably refuses
+// what it cannot serve. A call to a plain service is sent at once or waits in a
+// short queue. forwarder_sends.cc handles calls once they are sent.
 //
-// Work per event is constant but for the ranking of the service's upstreams.
+// Work per event is constant, apart from ranking the service's upstreams. A new
+// catalog visits every upstream and every call.
 #include "forward/forwarder.h"
 
 #include <algorithm>
@@ -17,19 +18,20 @@
 
 namespace {
 
-// Keeps a number short on the wire.
-constexpr uint64_t AskStartMask = 0x3fffffff;
-// While no configuration or no upstream is known.
+// Keeps admission ids short on the wire.
+constexpr uint64_t AdmissionIdStartMask = 0x3fffffff;
+// Sent while no configuration is known or too many calls are in progress.
 constexpr Duration UnknownRetryAfter = std::chrono::milliseconds(500);
-// A home is told at most this often to load the same adapter.
-constexpr Duration PrefetchPause = std::chrono::seconds(1);
-constexpr size_t MaxPrefetchNotes = 16384;
-// Calls that wait for a plain service, per service.
-constexpr size_t MaxQueued = 256;
+// Minimum time between prefetch requests for an adapter to the same engine.
+constexpr Duration PrefetchInterval = std::chrono::seconds(1);
+// The times of past prefetch requests are cleared at this number.
+constexpr size_t MaxPrefetchRecords = 16384;
+// Queued calls per plain service.
+constexpr size_t MaxQueuedCalls = 256;
 } // namespace
 
-std::string_view wordOf(EndReason R) {
-  switch (R) {
+std::string_view wordOf(EndReason Reason) {
+  switch (Reason) {
   case EndReason::NoConfig:
     return "no_config";
   case EndReason::NoRoute:
@@ -56,322 +58,342 @@
 
 Forwarder::Forwarder(Options O, ForwardPort &InPort, uint64_t Seed)
     : Opts(std::move(O)), Port(InPort), Rand(Seed),
-      NextAsk(1 + (Seed & AskStartMask)),
-      Board(EngineBoard::Options().setDataCentre(Opts.dataCentre())),
+      NextAdmissionId(1 + (Seed & AdmissionIdStartMask)),
+      Engines(EngineRanker::Options().setDataCentre(Opts.dataCentre())),
       Balancer(ServiceBalancer::Options().setDataCentre(Opts.dataCentre())) {}
 
-// What is believed of the deployment.
+// Known state of the deployment.
 
-void Forwarder::onCatalog(Time N, std::shared_ptr<const Catalog> C) {
-  Known = std::move(C);
-  Ready.clear();
-  for (const auto &[Id, U] : Known->upstreams())
+void Forwarder::onCatalog(Time Now, std::shared_ptr<const Catalog> NewCatalog) {
+  CurrentCatalog = std::move(NewCatalog);
+  ReadyUpstreams.clear();
+  for (const auto &[Id, U] : CurrentCatalog->upstreams())
     if (!U.Draining)
-      Ready[U.Service].push_back(&U);
-  Board.retain(Known->upstreams());
-  Balancer.retain(Known->upstreams());
-  // Requests that wait at an upstream which is leaving go elsewhere.
-  std::vector<uint64_t> Moved;
-  for (const auto &[Id, A] : Calls)
-    if ((A.At == Stage::Asking || A.At == Stage::Waiting) &&
-        !isUsable(A.Upstream.Id))
-      Moved.push_back(Id);
-  for (const uint64_t Id : Moved) {
-    ActiveCall &A = Calls.at(Id);
-    leaveSide(A);
-    placeEngine(N, A);
+      ReadyUpstreams[U.Service].push_back(&U);
+  Engines.retain(CurrentCatalog->upstreams());
+  Balancer.retain(CurrentCatalog->upstreams());
+  // Calls without admission yet at a draining or removed upstream are placed
+  // again.
+  std::vector<uint64_t> ToMove;
+  for (const auto &[Id, Call] : Calls)
+    if ((Call.CurrentStage == Stage::AdmissionRequested ||
+         Call.CurrentStage == Stage::WaitingAtSide) &&
+        !isUsable(Call.Upstream.Id))
+      ToMove.push_back(Id);
+  for (const uint64_t Id : ToMove) {
+    ActiveCall &Call = Calls.at(Id);
+    endAdmission(Call);
+    placeOnEngine(Now, Call);
   }
   for (const auto &[Service, Queue] : Queues)
-    serveQueue(N, Service);
+    sendQueued(Now, Service);
 }
 
 const std::vector<const UpstreamRecord *> &
 Forwarder::upstreamsOf(const std::string &Service) const {
   static const std::vector<const UpstreamRecord *> None;
-  const auto It = Ready.find(Service);
-  return It == Ready.end() ? None : It->second;
+  const auto It = ReadyUpstreams.find(Service);
+  return It == ReadyUpstreams.end() ? None : It->second;
 }
 
 bool Forwarder::isUsable(const std::string &UpstreamId) const {
-  const auto It = Known->upstreams().find(UpstreamId);
-  return It != Known->upstreams().end() && !It->second.Draining;
+  const auto It = CurrentCatalog->upstreams().find(UpstreamId);
+  return It != CurrentCatalog->upstreams().end() && !It->second.Draining;
 }
 
-void Forwarder::onLoad(Time N, const std::string &UpstreamId,
-                       const EngineLoad &L) {
-  Board.onLoad(N, UpstreamId, L);
+void Forwarder::onLoad(Time Now, const std::string &UpstreamId,
+                       const EngineLoad &Load) {
+  Engines.onLoad(Now, UpstreamId, Load);
 }
 
 void Forwarder::onEntries(size_t Count) {
-  Board.setEntries(Count);
+  Engines.setEntries(Count);
   Balancer.setEntries(Count);
 }
 
-// Intake.
+// Arrival of calls.
 
-std::string Forwarder::pickService(const RouteSpec &R) {
+std::string Forwarder::pickService(const RouteSpec &Route) {
   double Sum = 0;
-  for (const RouteTarget &T : R.Targets)
+  for (const RouteTarget &T : Route.Targets)
     Sum += T.Weight;
-  double Left = Rand.unit() * Sum;
-  for (const RouteTarget &T : R.Targets) {
-    Left -= T.Weight;
-    if (Left < 0)
+  double Remaining = Rand.unit() * Sum;
+  for (const RouteTarget &T : Route.Targets) {
+    Remaining -= T.Weight;
+    if (Remaining < 0)
       return T.Service;
   }
-  return R.Targets.empty() ? std::string() : R.Targets.back().Service;
+  return Route.Targets.empty() ? std::string() : Route.Targets.back().Service;
 }
 
-void Forwarder::refuseOutright(uint64_t Id, const CallerCall &C,
-                               unsigned Status, Duration RetryAfter,
-                               EndReason Why) {
-  Port.log(LineClass::Kept,
-           "end id=" + C.RequestId + " outcome=" + std::string(wordOf(Why)) +
-               " status=" + std::to_string(Status) + " config=" +
-               std::to_string(hasConfig() ? Known->config()->Version : 0));
+void Forwarder::rejectNewCall(uint64_t Id, const CallerCall &Request,
+                              unsigned Status, Duration RetryAfter,
+                              EndReason Why) {
+  Port.log(
+      LineClass::Kept,
+      "end id=" + Request.RequestId + " outcome=" + std::string(wordOf(Why)) +
+          " status=" + std::to_string(Status) + " config=" +
+          std::to_string(hasConfig() ? CurrentCatalog->config()->Version : 0));
   Port.record(0, wordOf(Why), Duration(0), Duration(0));
-  Port.answerOwn(Id, Status, C.RequestId, RetryAfter, Why);
+  Port.answerOwn(Id, Status, Request.RequestId, RetryAfter, Why);
 }
 
-void Forwarder::onCall(Time N, uint64_t Id, CallerCall Call) {
+void Forwarder::onCall(Time Now, uint64_t Id, CallerCall Request) {
   if (!hasConfig())
-    return refuseOutright(Id, Call, 503, UnknownRetryAfter,
-                          EndReason::NoConfig);
+    return rejectNewCall(Id, Request, 503, UnknownRetryAfter,
+                         EndReason::NoConfig);
   const std::string_view Path =
-      std::string_view(Call.Target).substr(0, Call.Target.find('?'));
-  const RouteSpec *R = Known->route(Call.Host, Path);
-  if (!R)
-    return refuseOutright(Id, Call, 404, Duration(0), EndReason::NoRoute);
-  if (Call.RequestId.empty())
-    return refuseOutright(Id, Call, 400, Duration(0), EndReason::BadRequest);
+      std::string_view(Request.Target).substr(0, Request.Target.find('?'));
+  const RouteSpec *Route = CurrentCatalog->route(Request.Host, Path);
+  if (!Route)
+    return rejectNewCall(Id, Request, 404, Duration(0), EndReason::NoRoute);
+  if (Request.RequestId.empty())
+    return rejectNewCall(Id, Request, 400, Duration(0), EndReason::BadRequest);
   if (Calls.size() >= Opts.maxCalls())
-    return refuseOutright(Id, Call, 503, UnknownRetryAfter, EndReason::TooMany);
-  ActiveCall A;
-  A.Id = Id;
-  A.RouteName = R->Name;
-  A.Service = pickService(*R);
-  A.Repeat = R->Repeat;
-  A.Streaming = R->Streaming;
-  A.Rank = R->Rank;
-  A.MaxAttempts = std::max(1u, R->MaxAttempts);
-  A.Objective = R->Objective;
-  A.Arrived = N;
-  const Duration TimeLeft =
-      Call.TimeLeft > Duration(0) ? Call.TimeLeft : Opts.defaultTimeLeft();
-  A.Deadline = N + std::min(TimeLeft, R->Timeout);
-  const ServiceSpec *S = Known->service(A.Service);
-  A.IsEngine = S && S->IsEngine;
-  A.Call = std::move(Call);
-  Allowances.try_emplace(A.Service, Opts.allowance())
-      .first->second.onRequest(N);
-  ActiveCall &Placed = Calls.emplace(Id, std::move(A)).first->second;
+    return rejectNewCall(Id, Request, 503, UnknownRetryAfter,
+                         EndReason::TooMany);
+  ActiveCall Call;
+  Call.Id = Id;
+  Call.RouteName = Route->Name;
+  Call.Service = pickService(*Route);
+  Call.Repeat = Route->Repeat;
+  Call.Streaming = Route->Streaming;
+  Call.Rank = Route->Rank;
+  Call.MaxAttempts = std::max(1u, Route->MaxAttempts);
+  Call.Objective = Route->Objective;
+  Call.Arrived = Now;
+  const Duration TimeLeft = Request.TimeLeft > Duration(0)
+                                ? Request.TimeLeft
+                                : Opts.defaultTimeLeft();
+  Call.Deadline = Now + std::min(TimeLeft, Route->Timeout);
+  const ServiceSpec *Spec = CurrentCatalog->service(Call.Service);
+  Call.IsEngine = Spec && Spec->IsEngine;
+  Call.Request = std::move(Request);
+  Allowances.try_emplace(Call.Service, Opts.allowance())
+      .first->second.onRequest(Now);
+  ActiveCall &Placed = Calls.emplace(Id, std::move(Call)).first->second;
   schedule(Placed.Deadline, Id);
   if (Placed.IsEngine) {
-    Board.onDemand(N, wantOf(Placed));
-    placeEngine(N, Placed);
+    Engines.onDemand(Now, requirementsOf(Placed));
+    placeOnEngine(Now, Placed);
   } else {
-    placePlain(N, Placed);
+    placeOnService(Now, Placed);
   }
 }
 
-void Forwarder::onCallerGone(Time N, uint64_t Id) {
+void Forwarder::onCallerGone(Time Now, uint64_t Id) {
   const auto It = Calls.find(Id);
   if (It == Calls.end())
     return;
-  ActiveCall &A = It->second;
-  if (A.At == Stage::Sent || A.At == Stage::Streaming) {
-    Port.cancelSend({A.Id, A.Sends});
-    settleSend(N, A, false);
+  ActiveCall &Call = It->second;
+  if (Call.CurrentStage == Stage::Sent ||
+      Call.CurrentStage == Stage::Streaming) {
+    Port.cancelSend({Call.Id, Call.Sends});
+    finishSend(Now, Call, false);
   } else {
-    leaveSide(A);
+    endAdmission(Call);
   }
-  erase(N, A, "caller_left");
+  endCall(Now, Call, "caller_left");
 }
 
 // Plain services.
 
-void Forwarder::placePlain(Time N, ActiveCall &A) {
-  const UpstreamRecord *U = Balancer.choose(N, upstreamsOf(A.Service), A.Tried);
+void Forwarder::placeOnService(Time Now, ActiveCall &Call) {
+  const UpstreamRecord *U =
+      Balancer.choose(Now, upstreamsOf(Call.Service), Call.TriedUpstreams);
   if (U) {
-    A.Upstream = *U;
-    return sendTo(N, A, 0);
+    Call.Upstream = *U;
+    return sendTo(Now, Call, 0);
   }
-  std::deque<uint64_t> &Queue = Queues[A.Service];
-  if (upstreamsOf(A.Service).empty() || A.Sends > 0 ||
-      Queue.size() >= MaxQueued)
-    return fail(N, A,
-                upstreamsOf(A.Service).empty() ? EndReason::NoUpstream
-                                               : EndReason::Overloaded);
-  A.At = Stage::Queued;
-  A.StageUntil =
-      N + Duration(static_cast<int64_t>(
-              static_cast<double>(A.Objective.count()) * Opts.queueShare()));
-  schedule(A.StageUntil, A.Id);
-  Queue.push_back(A.Id);
+  std::deque<uint64_t> &Queue = Queues[Call.Service];
+  if (upstreamsOf(Call.Service).empty() || Call.Sends > 0 ||
+      Queue.size() >= MaxQueuedCalls)
+    return fail(Now, Call,
+                upstreamsOf(Call.Service).empty() ? EndReason::NoUpstream
+                                                  : EndReason::Overloaded);
+  Call.CurrentStage = Stage::Queued;
+  Call.StageUntil =
+      Now +
+      Duration(static_cast<int64_t>(
+          static_cast<double>(Call.Objective.count()) * Opts.maxQueueShare()));
+  schedule(Call.StageUntil, Call.Id);
+  Queue.push_back(Call.Id);
 }
 
-void Forwarder::serveQueue(Time N, const std::string &Service) {
+void Forwarder::sendQueued(Time Now, const std::string &Service) {
   const auto Found = Queues.find(Service);
   if (Found == Queues.end())
     return;
   std::deque<uint64_t> &Queue = Found->second;
   while (!Queue.empty()) {
     const auto It = Calls.find(Queue.front());
-    if (It == Calls.end() || It->second.At != Stage::Queued) {
+    if (It == Calls.end() || It->second.CurrentStage != Stage::Queued) {
       Queue.pop_front();
       continue;
     }
-    ActiveCall &A = It->second;
-    const UpstreamRecord *U = Balancer.choose(N, upstreamsOf(Service), A.Tried);
+    ActiveCall &Call = It->second;
+    const UpstreamRecord *U =
+        Balancer.choose(Now, upstreamsOf(Service), Call.TriedUpstreams);
     if (!U)
       return;
     Queue.pop_front();
-    A.Upstream = *U;
-    sendTo(N, A, 0);
+    Call.Upstream = *U;
+    sendTo(Now, Call, 0);
   }
 }
 
 // Engines.
 
-EngineWant Forwarder::wantOf(const ActiveCall &A) const {
-  const ModelAsk &Ask = A.Call.Ask;
+EngineRequirements Forwarder::requirementsOf(const ActiveCall &Call) const {
+  const ModelAsk &Ask = Call.Request.Ask;
   return {Ask.Model, Ask.Adapter,
-          Known->releasedVersion(Ask.Model, Ask.Adapter), Ask.PromptTokens,
-          A.Rank};
+          CurrentCatalog->releasedVersion(Ask.Model, Ask.Adapter),
+          Ask.PromptTokens, Call.Rank};
 }
 
-Duration Forwarder::patienceOf(Time N, const ActiveCall &A,
-                               bool HeldSomewhere) const {
+Duration Forwarder::maxWaitOf(Time Now, const ActiveCall &Call,
+                              bool HeldSomewhere) const {
   auto Wait = Duration(static_cast<int64_t>(
-      static_cast<double>(A.Objective.count()) * Opts.patienceShare()));
+      static_cast<double>(Call.Objective.count()) * Opts.maxWaitShare()));
   if (!HeldSomewhere)
-    Wait = std::max(Wait, Opts.loadPatience());
-  return std::max(Duration(0), std::min(Wait, (A.Deadline - N) / 2));
+    Wait = std::max(Wait, Opts.minLoadWait());
+  return std::max(Duration(0), std::min(Wait, (Call.Deadline - Now) / 2));
 }
 
-void Forwarder::placeEngine(Time N, ActiveCall &A) {
-  const EngineWant Want = wantOf(A);
+void Forwarder::placeOnEngine(Time Now, ActiveCall &Call) {
+  const EngineRequirements Required = requirementsOf(Call);
   const std::vector<EngineCandidate> Ranked =
-      Board.rank(N, Want, upstreamsOf(A.Service));
+      Engines.rank(Now, Required, upstreamsOf(Call.Service));
   if (Ranked.empty())
-    return fail(N, A, EndReason::NoUpstream);
-  if (A.Asks == 0)
-    prefetchHomes(N, Want, Ranked);
+    return fail(Now, Call, EndReason::NoUpstream);
+  if (Call.AdmissionRequests == 0)
+    prefetchOnPreferred(Now, Required, Ranked);
   const bool HeldSomewhere =
       std::any_of(Ranked.begin(), Ranked.end(),
-                  [](const EngineCandidate &C) { return C.Holds; });
+                  [](const EngineCandidate &C) { return C.HoldsAdapter; });
   for (const EngineCandidate &C : Ranked) {
-    if (A.Tried.contains(C.Upstream->Id) || (A.OnlyHolders && !C.Holds))
+    if (Call.TriedUpstreams.contains(C.Upstream->Id) ||
+        (Call.OnlyHolders && !C.HoldsAdapter))
       continue;
-    if (A.Asks >= Opts.maxAsks())
+    if (Call.AdmissionRequests >= Opts.maxAdmissionRequests())
       break;
     if (!C.SideAnswers) {
-      A.Upstream = *C.Upstream;
-      return sendTo(N, A, Want.Version);
+      Call.Upstream = *C.Upstream;
+      return sendTo(Now, Call, Required.Version);
     }
-    return askSide(N, A, C, HeldSomewhere);
+    return requestAdmission(Now, Call, C, HeldSomewhere);
   }
-  fail(N, A, A.MayHaveRun ? EndReason::Broken : EndReason::Overloaded);
+  fail(Now, Call, Call.MayHaveRun ? EndReason::Broken : EndReason::Overloaded);
 }
 
-void Forwarder::prefetchHomes(Time N, const EngineWant &Want,
-                              std::span<const EngineCandidate> Ranked) {
+void Forwarder::prefetchOnPreferred(Time Now,
+                                    const EngineRequirements &Required,
+                                    std::span<const EngineCandidate> Ranked) {
   for (const EngineCandidate &C : Ranked) {
-    if (!C.IsHome || C.Holds || !C.SideAnswers || &C == Ranked.data())
+    if (!C.IsPreferred || C.HoldsAdapter || !C.SideAnswers ||
+        &C == Ranked.data())
       continue;
-    const uint64_t Key = mixHash(hash64(adapterName(Want.Model, Want.Adapter)),
-                                 hash64(C.Upstream->Id));
-    if (Prefetched.size() >= MaxPrefetchNotes)
-      Prefetched.clear();
-    Time &Last = Prefetched[Key];
-    if (N - Last < PrefetchPause)
+    const uint64_t Key =
+        mixHash(hash64(adapterName(Required.Model, Required.Adapter)),
+                hash64(C.Upstream->Id));
+    if (LastPrefetch.size() >= MaxPrefetchRecords)
+      LastPrefetch.clear();
+    Time &Last = LastPrefetch[Key];
+    if (Now - Last < PrefetchInterval)
       continue;
-    Last = N;
-    AdmissionAsk Ask;
-    Ask.Id = NextAsk++;
-    Ask.Model = Want.Model;
-    Ask.Adapter = Want.Adapter;
-    Ask.Version = Want.Version;
-    Ask.Prefetch = true;
-    Port.ask(*C.Upstream, Ask);
+    Last = Now;
+    AdmissionAsk Admission;
+    Admission.Id = NextAdmissionId++;
+    Admission.Model = Required.Model;
+    Admission.Adapter = Required.Adapter;
+    Admission.Version = Required.Version;
+    Admission.Prefetch = true;
+    Port.ask(*C.Upstream, Admission);
   }
 }
 
-void Forwarder::askSide(Time N, ActiveCall &A, const EngineCandidate &C,
-                        bool HeldSomewhere) {
-  A.Patience = patienceOf(N, A, HeldSomewhere);
-  A.Upstream = *C.Upstream;
-  A.UpstreamHolds = C.Holds;
-  A.AskId = NextAsk++;
-  CallOfAsk[A.AskId] = A.Id;
-  ++A.Asks;
-  A.At = Stage::Asking;
-  A.StageUntil = N + Opts.askTimeout();
-  schedule(A.StageUntil, A.Id);
-  AdmissionAsk Ask;
-  Ask.Id = A.AskId;
-  Ask.Model = A.Call.Ask.Model;
-  Ask.Adapter = A.Call.Ask.Adapter;
-  Ask.Version = Known->releasedVersion(A.Call.Ask.Model, A.Call.Ask.Adapter);
-  Ask.Rank = A.Rank;
-  Ask.PromptTokens = A.Call.Ask.PromptTokens;
-  Ask.OutputTokens = A.Call.Ask.MaxOutputTokens;
-  Ask.Patience = A.Patience;
-  Ask.ObjectiveLeft = A.Arrived + A.Objective - N;
-  Ask.TimeLeft = A.Deadline - N;
-  Board.onSent(N, A.Upstream.Id, wantOf(A));
-  Port.ask(A.Upstream, Ask);
+void Forwarder::requestAdmission(Time Now, ActiveCall &Call,
+                                 const EngineCandidate &Candidate,
+                                 bool HeldSomewhere) {
+  Call.MaxWait = maxWaitOf(Now, Call, HeldSomewhere);
+  Call.Upstream = *Candidate.Upstream;
+  Call.UpstreamHoldsAdapter = Candidate.HoldsAdapter;
+  Call.AdmissionId = NextAdmissionId++;
+  CallByAdmission[Call.AdmissionId] = Call.Id;
+  ++Call.AdmissionRequests;
+  Call.CurrentStage = Stage::AdmissionRequested;
+  Call.StageUntil = Now + Opts.admissionTimeout();
+  schedule(Call.StageUntil, Call.Id);
+  AdmissionAsk Admission;
+  Admission.Id = Call.AdmissionId;
+  Admission.Model = Call.Request.Ask.Model;
+  Admission.Adapter = Call.Request.Ask.Adapter;
+  Admission.Version = CurrentCatalog->releasedVersion(Call.Request.Ask.Model,
+                                                      Call.Request.Ask.Adapter);
+  Admission.Rank = Call.Rank;
+  Admission.PromptTokens = Call.Request.Ask.PromptTokens;
+  Admission.OutputTokens = Call.Request.Ask.MaxOutputTokens;
+  Admission.Patience = Call.MaxWait;
+  Admission.ObjectiveLeft = Call.Arrived + Call.Objective - Now;
+  Admission.TimeLeft = Call.Deadline - Now;
+  Engines.onSent(Now, Call.Upstream.Id, requirementsOf(Call));
+  Port.ask(Call.Upstream, Admission);
 }
 
-void Forwarder::leaveSide(ActiveCall &A) {
-  if (A.AskId == 0)
+void Forwarder::endAdmission(ActiveCall &Call) {
+  if (Call.AdmissionId == 0)
     return;
-  const Duration FirstToken = A.FirstByteAt != Time{} && A.SentAt != Time{}
-                                  ? A.FirstByteAt - A.SentAt
-                                  : Duration(0);
-  Port.endAsk(A.Upstream, A.AskId, FirstToken);
-  CallOfAsk.erase(A.AskId);
-  A.AskId = 0;
+  const Duration FirstToken =
+      Call.FirstByteAt != Time{} && Call.SentAt != Time{}
+          ? Call.FirstByteAt - Call.SentAt
+          : Duration(0);
+  Port.endAsk(Call.Upstream, Call.AdmissionId, FirstToken);
+  CallByAdmission.erase(Call.AdmissionId);
+  Call.AdmissionId = 0;
 }
 
-void Forwarder::onAdmission(Time N, const std::string &UpstreamId,
-                            uint64_t AskId, const AdmissionReply &R) {
-  Board.onSideAnswered(UpstreamId);
-  const auto Found = CallOfAsk.find(AskId);
-  if (Found == CallOfAsk.end())
-    return; // Ended meanwhile; the side has been told.
-  ActiveCall &A = Calls.at(Found->second);
-  if (A.At != Stage::Asking && A.At != Stage::Waiting)
+void Forwarder::onAdmission(Time Now, const std::string &UpstreamId,
+                            uint64_t AdmissionId, const AdmissionReply &Reply) {
+  Engines.onSideAnswered(UpstreamId);
+  const auto Found = CallByAdmission.find(AdmissionId);
+  if (Found == CallByAdmission.end())
+    return; // The admission request was ended; the side has been notified.
+  ActiveCall &Call = Calls.at(Found->second);
+  if (Call.CurrentStage != Stage::AdmissionRequested &&
+      Call.CurrentStage != Stage::WaitingAtSide)
     return;
-  switch (R.What) {
+  switch (Reply.What) {
   case Verdict::Go:
-    if (!isUsable(A.Upstream.Id)) {
-      leaveSide(A);
-      return placeEngine(N, A);
+    if (!isUsable(Call.Upstream.Id)) {
+      endAdmission(Call);
+      return placeOnEngine(Now, Call);
     }
-    return sendTo(N, A, R.Version);
+    return sendTo(Now, Call, Reply.Version);
   case Verdict::Wait:
-    A.At = Stage::Waiting;
-    Port.log(LineClass::Routine,
-             "wait " + describe(A) + " ask=" + std::to_string(AskId) +
-                 " expected_ms=" + std::to_string(R.Expected.count() / 1000));
-    // The side gives up first; this covers a side that has died meanwhile.
-    A.StageUntil = N + A.Patience * 2 + Opts.askTimeout();
-    schedule(A.StageUntil, A.Id);
+    Call.CurrentStage = Stage::WaitingAtSide;
+    Port.log(
+        LineClass::Routine,
+        "wait " + describe(Call) + " ask=" + std::to_string(AdmissionId) +
+            " expected_ms=" + std::to_string(Reply.Expected.count() / 1000));
+    // The side normally refuses the call before this time; the time-out covers
+    // a side that has failed since.
+    Call.StageUntil = Now + Call.MaxWait * 2 + Opts.admissionTimeout();
+    schedule(Call.StageUntil, Call.Id);
     return;
   case Verdict::Refuse:
     Port.log(LineClass::Routine,
-             "refused_by_side " + describe(A) +
-                 " ask=" + std::to_string(AskId) +
-                 " expected_ms=" + std::to_string(R.Expected.count() / 1000) +
-                 " elsewhere=" + (R.TryElsewhere ? "yes" : "no"));
-    CallOfAsk.erase(Found);
-    A.AskId = 0;
-    A.Tried.insert(A.Upstream.Id);
-    A.OnlyHolders |= !R.TryElsewhere;
-    A.ComeBack = A.ComeBack == Duration(0) ? R.Expected
-                                           : std::min(A.ComeBack, R.Expected);
-    return placeEngine(N, A);
+             "refused_by_side " + describe(Call) +
+                 " ask=" + std::to_string(AdmissionId) + " expected_ms=" +
+                 std::to_string(Reply.Expected.count() / 1000) +
+                 " elsewhere=" + (Reply.TryElsewhere ? "yes" : "no"));
+    CallByAdmission.erase(Found);
+    Call.AdmissionId = 0;
+    Call.TriedUpstreams.insert(Call.Upstream.Id);
+    Call.OnlyHolders |= !Reply.TryElsewhere;
+    Call.RetryDelay = Call.RetryDelay == Duration(0)
+                          ? Reply.Expected
+                          : std::min(Call.RetryDelay, Reply.Expected);
+    return placeOnEngine(Now, Call);
   }
 }
 
--- a/forward/forwarder.h
+++ b/forward/forwarder.h
@@ -1,13 +1,13 @@
-// The decisions of an entry about callers' requests: which upstream serves a
-// request, when it waits, when it is sent again, and what the caller is told. A
-// state machine without I/O, threads or clocks.
+// Decides for an entry which upstream serves a caller's request, when the
+// request waits, when it is retried, and what the caller is answered. A state
+// machine without I/O, threads or clocks.
 //
 //   Forwarder F(Forwarder::Options(), Port, Seed);
-//   F.onCatalog(N, Catalog);
-//   F.onCall(N, Id, std::move(Call));    // every call gets exactly one end
-//   F.onAdmission(N, UpstreamId, AskId, Reply);
-//   F.onHead(N, Id, Send, Head);  F.onData(...);  F.onDone(...);
-//   F.onTimer(N);
+//   F.onCatalog(Now, Catalog);
+//   F.onCall(Now, Id, std::move(Request));    // every call ends exactly once
+//   F.onAdmission(Now, UpstreamId, AdmissionId, Reply);
+//   F.onHead(Now, Send, Head);  F.onData(...);  F.onDone(...);
+//   F.onTimer(Now);
 #ifndef GOLDCRESTLINK_FORWARD_FORWARDER_H
 #define GOLDCRESTLINK_FORWARD_FORWARDER_H
 
@@ -32,66 +32,82 @@
 
 namespace goldcrestlink::forward {
 
-/// Why a call ended without an upstream's answer.
+/// Why a call ended without an upstream's answer being forwarded.
 enum class EndReason {
   NoConfig,
   NoRoute,
   BadRequest,
   NoUpstream,
   Overloaded,
+  /// No upstream ran the request, and it may not be sent again.
   NotAccepted,
+  /// The connection failed after the request was sent.
   Broken,
   TimedOut,
+  /// The answer is unsigned, encoded, too large or for another request, or does
+  /// not state whether the request ran.
   BadAnswer,
+  /// The limit of calls in progress was reached.
   TooMany
 };
 
-/// The word used for \p R in logs and metrics. Thread-safe.
-std::string_view wordOf(EndReason R);
+/// Name of \p Reason in logs, metrics and answers. Thread-safe.
+std::string_view wordOf(EndReason Reason);
 
-/// The outcome of a call that got a success, in logs and metrics.
+/// Outcome in logs and metrics of a call that was answered with success.
 constexpr std::string_view ServedOutcome = "served";
 
-/// Names one send of one call.
+/// Identifies one send of one call.
 struct SendId {
   uint64_t Call = 0;
+  /// From 1 within the call.
   uint32_t Number = 0;
 };
 
-/// What a Forwarder asks its shell to do. Answers of a call that its caller
-/// has left are dropped by the shell.
+/// The actions that a Forwarder requests from the I/O layer. The I/O layer
+/// drops answers to callers that have disconnected.
 class ForwardPort {
 public:
   virtual ~ForwardPort() = default;
-  /// Asks the side beside \p Of.
-  virtual void ask(const UpstreamRecord &Of, const AdmissionAsk &A) = 0;
-  /// Tells the side that an asked or granted request has ended.
-  virtual void endAsk(const UpstreamRecord &Of, uint64_t AskId,
+  /// Sends an admission request to the side beside \p Engine.
+  virtual void ask(const UpstreamRecord &Engine,
+                   const AdmissionAsk &Request) = 0;
+  /// Notifies the side beside \p Engine that a waiting or granted request has
+  /// ended. \p FirstToken is the time from the send to the first byte of the
+  /// answer; zero if there was none.
+  virtual void endAsk(const UpstreamRecord &Engine, uint64_t AdmissionId,
                       Duration FirstToken) = 0;
-  /// The side has not answered in time: its link may have gone silent.
-  virtual void sideSilent(const UpstreamRecord &Of) = 0;
-  virtual void send(SendId S, const CallerCall &C, const SendTerms &T) = 0;
+  /// The side beside \p Engine did not answer in time; its connection may be
+  /// dead.
+  virtual void sideSilent(const UpstreamRecord &Engine) = 0;
+  virtual void send(SendId Send, const CallerCall &Request,
+                    const SendTerms &Terms) = 0;
   /// Closes the connection that carries the send, if it is still open.
-  virtual void cancelSend(SendId S) = 0;
+  virtual void cancelSend(SendId Send) = 0;
+  /// Sends the caller a complete answer.
   virtual void answerWhole(uint64_t Call, unsigned Status,
                            const http::Headers &Fields, std::string Body) = 0;
+  /// Starts a streamed answer.
   virtual void answerBegin(uint64_t Call, unsigned Status,
                            const http::Headers &Fields) = 0;
   virtual void answerData(uint64_t Call, std::string Part) = 0;
   virtual void answerEnd(uint64_t Call) = 0;
-  /// Cuts the caller's connection, so that it sees the answer as incomplete.
+  /// Closes the caller's connection, so that the caller sees that the answer is
+  /// incomplete.
   virtual void answerAbort(uint64_t Call) = 0;
-  /// An answer of the system's own. \p RetryAfter zero: none.
+  /// Sends an answer that the entry itself makes. \p RetryAfter is zero to send
+  /// no Retry-After field.
   virtual void answerOwn(uint64_t Call, unsigned Status,
                          std::string_view RequestId, Duration RetryAfter,
                          EndReason Why) = 0;
   virtual void log(LineClass Class, std::string Line) = 0;
-  /// One ended call, for metrics. \p FirstByte is zero if there was none.
+  /// Records an ended call in the metrics. \p FirstByte and \p Total count from
+  /// the call's arrival; \p FirstByte is zero if there was none.
   virtual void record(uint32_t Rank, std::string_view Outcome,
                       Duration FirstByte, Duration Total) = 0;
 };
 
-/// Not thread-safe: all calls on one thread.
+/// Not thread-safe: call all methods on one thread.
 class Forwarder {
 public:
   class Options {
@@ -100,11 +116,11 @@
     const RetryAllowance::Options &allowance() const { return Allowance; }
     size_t maxCalls() const { return MaxCalls; }
     size_t maxBuffered() const { return MaxBuffered; }
-    Duration askTimeout() const { return AskTimeout; }
-    uint32_t maxAsks() const { return MaxAsks; }
-    double patienceShare() const { return PatienceShare; }
-    Duration loadPatience() const { return LoadPatience; }
-    double queueShare() const { return QueueShare; }
+    Duration admissionTimeout() const { return AdmissionTimeout; }
+    uint32_t maxAdmissionRequests() const { return MaxAdmissionRequests; }
+    double maxWaitShare() const { return MaxWaitShare; }
+    Duration minLoadWait() const { return MinLoadWait; }
+    double maxQueueShare() const { return MaxQueueShare; }
     Duration defaultTimeLeft() const { return DefaultTimeLeft; }
     Options &setDataCentre(std::string Name) {
       DataCentre = std::move(Name);
@@ -114,8 +130,8 @@
       Allowance = O;
       return *this;
     }
-    Options &setMaxCalls(size_t N) {
-      MaxCalls = N;
+    Options &setMaxCalls(size_t Count) {
+      MaxCalls = Count;
       return *this;
     }
 
@@ -123,21 +139,24 @@
     std::string DataCentre;
     RetryAllowance::Options Allowance;
     size_t MaxCalls = 4096;
-    // Answers that are not streams are held until they are whole.
+    // Bytes. Answers other than streams are buffered until they are complete.
     size_t MaxBuffered = 8 * 1024 * 1024;
-    // A side answers within two network delays; a tenth of a second covers a
-    // slowed machine.
-    Duration AskTimeout = std::chrono::milliseconds(100);
-    // Sides asked for one request before it is refused.
-    uint32_t MaxAsks = 3;
-    // Share of the route's objective that a request may wait at one side.
-    double PatienceShare = 0.9;
-    // How long a request may wait for an adapter that no engine holds: it would
-    // take as long elsewhere, and a late answer is better than none.
-    Duration LoadPatience = std::chrono::milliseconds(2500);
-    // Share of the objective that a call to a plain service may wait here.
-    double QueueShare = 0.6;
-    // For callers that do not say how long they wait.
+    // A side answers within two network delays; 100 ms also covers a slow
+    // instance.
+    Duration AdmissionTimeout = std::chrono::milliseconds(100);
+    // Admission requests for a call before it is refused; a retry starts the
+    // count anew.
+    uint32_t MaxAdmissionRequests = 3;
+    // Part of the route's latency objective that a call may wait at one side.
+    double MaxWaitShare = 0.9;
+    // Lower bound on the maximum wait for an adapter that no engine holds. A
+    // load would take as long on any other engine, and a late answer is better
+    // than none.
+    Duration MinLoadWait = std::chrono::milliseconds(2500);
+    // Part of the latency objective that a call to a plain service may be
+    // queued in the entry.
+    double MaxQueueShare = 0.6;
+    // Used for callers that do not state how long they wait.
     Duration DefaultTimeLeft = std::chrono::seconds(60);
   };
 
@@ -145,34 +164,49 @@
 
   // Commands.
 
-  /// Takes over what is believed of the deployment.
-  void onCatalog(Time N, std::shared_ptr<const Catalog> C);
-  void onCall(Time N, uint64_t Id, CallerCall Call);
-  void onCallerGone(Time N, uint64_t Id);
-  void onAdmission(Time N, const std::string &UpstreamId, uint64_t AskId,
-                   const AdmissionReply &R);
-  void onLoad(Time N, const std::string &UpstreamId, const EngineLoad &L);
-  /// Entries alive, this one included.
+  /// Replaces the known state of the deployment.
+  void onCatalog(Time Now, std::shared_ptr<const Catalog> NewCatalog);
+  /// A caller's request arrived. \p Id must not be in use by another call.
+  void onCall(Time Now, uint64_t Id, CallerCall Request);
+  /// The caller disconnected.
+  void onCallerGone(Time Now, uint64_t Id);
+  void onAdmission(Time Now, const std::string &UpstreamId,
+                   uint64_t AdmissionId, const AdmissionReply &Reply);
+  void onLoad(Time Now, const std::string &UpstreamId, const EngineLoad &Load);
+  /// \p Count is the number of live entries, this one included.
   void onEntries(size_t Count);
-  void onHead(Time N, SendId S, AnswerHead Head);
-  void onData(Time N, SendId S, std::string Part);
-  void onDone(Time N, SendId S);
-  void onError(Time N, SendId S, SendError E, std::string_view Why);
+  void onHead(Time Now, SendId Send, AnswerHead Head);
+  void onData(Time Now, SendId Send, std::string Part);
+  void onDone(Time Now, SendId Send);
+  void onError(Time Now, SendId Send, SendError Error, std::string_view Why);
   /// To be called every few milliseconds.
-  void onTimer(Time N);
+  void onTimer(Time Now);
 
   // Queries.
 
   size_t callsInProgress() const { return Calls.size(); }
-  bool hasConfig() const { return Known && Known->config() != nullptr; }
+  bool hasConfig() const {
+    return CurrentCatalog && CurrentCatalog->config() != nullptr;
+  }
 
 private:
-  enum class Stage { Queued, Asking, Waiting, Sent, Streaming };
+  enum class Stage {
+    /// In the entry's queue for a plain service.
+    Queued,
+    /// An admission request was sent and not answered yet.
+    AdmissionRequested,
+    /// The side has replied Wait.
+    WaitingAtSide,
+    /// Sent to an upstream; nothing from this send was forwarded yet.
+    Sent,
+    /// Events from this send were forwarded to the caller.
+    Streaming
+  };
 
   struct ActiveCall {
     uint64_t Id = 0;
-    CallerCall Call;
-    Stage At = Stage::Queued;
+    CallerCall Request;
+    Stage CurrentStage = Stage::Queued;
     std::string RouteName;
     std::string Service;
     Repeatability Repeat = Repeatability::AtMostOnce;
@@ -183,29 +217,33 @@
     Duration Objective{};
     Time Arrived;
     Time Deadline;
-    // Asked or sent to.
+    // Where admission was requested or the call was sent last.
     UpstreamRecord Upstream;
-    uint64_t AskId = 0;
-    bool UpstreamHolds = false;
+    // Zero if no admission request is open.
+    uint64_t AdmissionId = 0;
+    bool UpstreamHoldsAdapter = false;
+    // Time-out of the current stage.
     Time StageUntil{};
-    uint32_t Asks = 0;
-    Duration ComeBack{};
-    // A side said that no other engine would be quicker.
+    uint32_t AdmissionRequests = 0;
+    // Shortest time after which a refusing side suggests to ask again; zero if
+    // none has refused.
+    Duration RetryDelay{};
+    // A side replied that an engine without the adapter would not be faster.
     bool OnlyHolders = false;
-    Duration Patience{};
+    Duration MaxWait{};
     uint32_t Sends = 0;
-    // Some send may have run the request.
+    // An upstream may have run the request.
     bool MayHaveRun = false;
     uint64_t Version = 0;
-    std::set<std::string> Tried;
+    std::set<std::string> TriedUpstreams;
     Time SentAt{};
     Time FirstByteAt{};
     AnswerHead Head;
-    bool HeadSeen = false;
-    bool HeadPassedOn = false;
+    bool HasHead = false;
+    bool HeadForwarded = false;
     EventSplitter Events;
     std::string Buffered;
-    // An upstream's own failure, passed on if no further send succeeds.
+    // An upstream's own failure, forwarded if no retry succeeds.
     bool HasFailure = false;
     AnswerHead FailureHead;
     std::string FailureBody;
@@ -216,61 +254,70 @@
   const std::vector<const UpstreamRecord *> &
   upstreamsOf(const std::string &Service) const;
   bool isUsable(const std::string &UpstreamId) const;
-  std::string pickService(const RouteSpec &R);
-  void refuseOutright(uint64_t Id, const CallerCall &C, unsigned Status,
-                      Duration RetryAfter, EndReason Why);
+  /// Picks one of the route's services at random, by weight.
+  std::string pickService(const RouteSpec &Route);
+  void rejectNewCall(uint64_t Id, const CallerCall &Request, unsigned Status,
+                     Duration RetryAfter, EndReason Why);
 
   // Plain services.
-  void placePlain(Time N, ActiveCall &A);
-  void serveQueue(Time N, const std::string &Service);
+  void placeOnService(Time Now, ActiveCall &Call);
+  void sendQueued(Time Now, const std::string &Service);
 
   // Engines.
-  EngineWant wantOf(const ActiveCall &A) const;
-  void placeEngine(Time N, ActiveCall &A);
-  void prefetchHomes(Time N, const EngineWant &Want,
-                     std::span<const EngineCandidate> Ranked);
-  Duration patienceOf(Time N, const ActiveCall &A, bool HeldSomewhere) const;
-  void askSide(Time N, ActiveCall &A, const EngineCandidate &C,
-               bool HeldSomewhere);
-  void leaveSide(ActiveCall &A);
+  EngineRequirements requirementsOf(const ActiveCall &Call) const;
+  void placeOnEngine(Time Now, ActiveCall &Call);
+  /// Requests a load of the adapter on the preferred engines that lack it.
+  void prefetchOnPreferred(Time Now, const EngineRequirements &Required,
+                           std::span<const EngineCandidate> Ranked);
+  Duration maxWaitOf(Time Now, const ActiveCall &Call,
+                     bool HeldSomewhere) const;
+  void requestAdmission(Time Now, ActiveCall &Call,
+                        const EngineCandidate &Candidate, bool HeldSomewhere);
+  /// Ends the call's admission request, if one is open.
+  void endAdmission(ActiveCall &Call);
 
   // Sends and their ends.
-  void sendTo(Time N, ActiveCall &A, uint64_t Version);
-  bool isCurrent(const ActiveCall &A, SendId S) const;
-  ActiveCall *find(SendId S);
-  void settleSend(Time N, ActiveCall &A, bool Failed);
-  void onNotRun(Time N, ActiveCall &A);
-  void onBroken(Time N, ActiveCall &A, EndReason Why);
-  void onWhole(Time N, ActiveCall &A);
-  bool maySendAgain(Time N, ActiveCall &A, bool AfterRun);
-  void placeAgain(Time N, ActiveCall &A);
+  void sendTo(Time Now, ActiveCall &Call, uint64_t Version);
+  bool isCurrent(const ActiveCall &Call, SendId Send) const;
+  /// The call of \p Send; null if it has ended or \p Send is not its last send.
+  ActiveCall *find(SendId Send);
+  void finishSend(Time Now, ActiveCall &Call, bool Failed);
+  void onNotRun(Time Now, ActiveCall &Call);
+  void onBroken(Time Now, ActiveCall &Call, EndReason Why);
+  void onComplete(Time Now, ActiveCall &Call);
+  /// Returns whether the call may be retried, and takes the retry from the
+  /// service's allowance if so. \p AfterRun: an upstream may have run it.
+  bool takeRetry(Time Now, ActiveCall &Call, bool AfterRun);
+  void placeRetry(Time Now, ActiveCall &Call);
 
-  // Ends. The call is gone afterwards.
-  void passOnWhole(Time N, ActiveCall &A, const AnswerHead &H,
-                   std::string Body);
-  void fail(Time N, ActiveCall &A, EndReason Why);
-  void erase(Time N, ActiveCall &A, std::string_view Outcome);
-  Duration retryAfter(Time N, const ActiveCall &A);
+  // Ends. These erase the call, so the reference is invalid afterwards.
+  void forwardAnswer(Time Now, ActiveCall &Call, const AnswerHead &Head,
+                     std::string Body);
+  void fail(Time Now, ActiveCall &Call, EndReason Why);
+  void endCall(Time Now, ActiveCall &Call, std::string_view Outcome);
+  Duration retryAfter(Time Now, const ActiveCall &Call);
   void schedule(Time When, uint64_t Id);
-  void onDue(Time N, ActiveCall &A);
-  std::string describe(const ActiveCall &A) const;
+  void onDue(Time Now, ActiveCall &Call);
+  std::string describe(const ActiveCall &Call) const;
 
   Options Opts;
   ForwardPort &Port;
   Random Rand;
-  std::shared_ptr<const Catalog> Known;
-  std::map<std::string, std::vector<const UpstreamRecord *>> Ready;
+  std::shared_ptr<const Catalog> CurrentCatalog;
+  // Upstreams that are not draining, by service.
+  std::map<std::string, std::vector<const UpstreamRecord *>> ReadyUpstreams;
   CallMap Calls;
-  std::unordered_map<uint64_t, uint64_t> CallOfAsk;
-  // From a random start, so that a number in the logs names one ask of one
-  // entry.
-  uint64_t NextAsk;
-  EngineBoard Board;
+  std::unordered_map<uint64_t, uint64_t> CallByAdmission;
+  // Starts at a random number, so that an id in the logs identifies one
+  // admission request of one entry.
+  uint64_t NextAdmissionId;
+  EngineRanker Engines;
   ServiceBalancer Balancer;
   std::map<std::string, RetryAllowance> Allowances;
+  // Ids of queued calls, by plain service.
   std::map<std::string, std::deque<uint64_t>> Queues;
-  // When a home was last told to load an adapter, by both names.
-  std::unordered_map<uint64_t, Time> Prefetched;
+  // Time of the last prefetch request, by a hash of adapter and engine.
+  std::unordered_map<uint64_t, Time> LastPrefetch;
   using Due = std::pair<Time, uint64_t>;
   std::priority_queue<Due, std::vector<Due>, std::greater<>> Timers;
 };
--- a/forward/forwarder_sends.cc
+++ b/forward/forwarder_sends.cc
@@ -1,9 +1,11 @@
-// Forwarder, from the send on: answers, second sends, ends and time limits.
+// The part of Forwarder that handles a call once it is sent: answers, retries,
+// ends and time limits.
 //
-// What may be repeated follows from the route. A call that is not idempotent
-// and may have run is never sent again; a resumable stream goes on after its
-// last whole event. Every second send takes one from the service's allowance.
-// Work per event is constant; a timer is looked at once.
+// The route determines what may be repeated. A call that is not idempotent and
+// may have run is never sent again; a resumable stream continues after its last
+// complete event. Every retry of a call that was sent counts against the
+// service's retry allowance. Work per event is constant, and each timer is
+// examined once.
 #include <algorithm>
 
 #include "forward/forwarder.h"
@@ -12,274 +14,291 @@
 
 namespace {
 
-// A refused caller is asked to come back within this range. The platform's
-// clients honour up to a third of the time that they have left.
+// Range of the Retry-After time of a refusal. The platform's clients honour a
+// time up to a third of the time that they have left.
 constexpr Duration MinRetryAfter = std::chrono::milliseconds(100);
 constexpr Duration MaxRetryAfter = std::chrono::seconds(5);
-// Spread of the time to come back, so that callers do not return in one wave.
+// Random part added to the Retry-After time, as a share of it, so that refused
+// callers do not all return at once.
 constexpr double RetryAfterSpread = 0.5;
-// Less time than this is of no use to an upstream.
+// A call with less time left is not sent: no upstream can answer it in time.
 constexpr Duration MinTimeLeft = std::chrono::milliseconds(5);
 
 bool isSuccess(unsigned Status) { return Status >= 200 && Status < 300; }
 
 } // namespace
 
-// Sends and their ends.
+// Sends and their results.
 
-void Forwarder::sendTo(Time N, ActiveCall &A, uint64_t Version) {
-  if (A.Deadline - N < MinTimeLeft) {
-    leaveSide(A);
-    return fail(N, A, EndReason::TimedOut);
+void Forwarder::sendTo(Time Now, ActiveCall &Call, uint64_t Version) {
+  if (Call.Deadline - Now < MinTimeLeft) {
+    endAdmission(Call);
+    return fail(Now, Call, EndReason::TimedOut);
   }
-  A.At = Stage::Sent;
-  A.StageUntil = A.Deadline;
-  A.Version = Version;
-  A.SentAt = N;
-  A.FirstByteAt = Time{};
-  A.HeadSeen = false;
-  A.Buffered.clear();
-  A.Events.dropPartial();
-  A.Tried.insert(A.Upstream.Id);
-  ++A.Sends;
-  if (!A.IsEngine)
-    Balancer.onSent(A.Upstream.Id);
-  SendTerms T;
-  T.To = A.Upstream;
-  T.TimeLeft = A.Deadline - N;
-  T.Version = Version;
-  T.Rank = A.Rank;
-  T.IsEngine = A.IsEngine;
-  T.AfterEvent = A.Events.lastId();
-  Port.log(LineClass::Routine,
-           "send " + describe(A) + " send=" + std::to_string(A.Sends) +
-               " version=" + std::to_string(Version) +
-               " waited_ms=" + std::to_string((N - A.Arrived).count() / 1000) +
-               (T.AfterEvent.empty() ? "" : " after_event=" + T.AfterEvent));
-  Port.send({A.Id, A.Sends}, A.Call, T);
+  Call.CurrentStage = Stage::Sent;
+  Call.StageUntil = Call.Deadline;
+  Call.Version = Version;
+  Call.SentAt = Now;
+  Call.FirstByteAt = Time{};
+  Call.HasHead = false;
+  Call.Buffered.clear();
+  Call.Events.dropPartial();
+  Call.TriedUpstreams.insert(Call.Upstream.Id);
+  ++Call.Sends;
+  if (!Call.IsEngine)
+    Balancer.onSent(Call.Upstream.Id);
+  SendTerms Terms;
+  Terms.To = Call.Upstream;
+  Terms.TimeLeft = Call.Deadline - Now;
+  Terms.Version = Version;
+  Terms.Rank = Call.Rank;
+  Terms.IsEngine = Call.IsEngine;
+  Terms.AfterEvent = Call.Events.lastId();
+  Port.log(
+      LineClass::Routine,
+      "send " + describe(Call) + " send=" + std::to_string(Call.Sends) +
+          " version=" + std::to_string(Version) +
+          " waited_ms=" + std::to_string((Now - Call.Arrived).count() / 1000) +
+          (Terms.AfterEvent.empty() ? "" : " after_event=" + Terms.AfterEvent));
+  Port.send({Call.Id, Call.Sends}, Call.Request, Terms);
 }
 
-bool Forwarder::isCurrent(const ActiveCall &A, SendId S) const {
-  return S.Number == A.Sends &&
-         (A.At == Stage::Sent || A.At == Stage::Streaming);
+bool Forwarder::isCurrent(const ActiveCall &Call, SendId Send) const {
+  return Send.Number == Call.Sends && (Call.CurrentStage == Stage::Sent ||
+                                       Call.CurrentStage == Stage::Streaming);
 }
 
-Forwarder::ActiveCall *Forwarder::find(SendId S) {
-  const auto It = Calls.find(S.Call);
-  return It == Calls.end() || !isCurrent(It->second, S) ? nullptr : &It->second;
+Forwarder::ActiveCall *Forwarder::find(SendId Send) {
+  const auto It = Calls.find(Send.Call);
+  return It == Calls.end() || !isCurrent(It->second, Send) ? nullptr
+                                                           : &It->second;
 }
 
-void Forwarder::settleSend(Time N, ActiveCall &A, bool Failed) {
-  leaveSide(A);
-  if (A.IsEngine)
-    Board.onOutcome(N, A.Upstream.Id, Failed);
+void Forwarder::finishSend(Time Now, ActiveCall &Call, bool Failed) {
+  endAdmission(Call);
+  if (Call.IsEngine)
+    Engines.onOutcome(Now, Call.Upstream.Id, Failed);
   else
-    Balancer.onEnded(N, A.Upstream.Id, Failed);
+    Balancer.onEnded(Now, Call.Upstream.Id, Failed);
 }
 
-void Forwarder::onHead(Time N, SendId S, AnswerHead Head) {
-  ActiveCall *A = find(S);
-  if (!A)
+void Forwarder::onHead(Time Now, SendId Send, AnswerHead Head) {
+  ActiveCall *Call = find(Send);
+  if (!Call)
     return;
   if (Head.OtherRequest || Head.Encoded ||
       (isSuccess(Head.Status) && !Head.Signed)) {
-    Port.cancelSend(S);
-    A->MayHaveRun = true;
-    settleSend(N, *A, true);
-    return onBroken(N, *A, EndReason::BadAnswer);
+    Port.cancelSend(Send);
+    Call->MayHaveRun = true;
+    finishSend(Now, *Call, true);
+    return onBroken(Now, *Call, EndReason::BadAnswer);
   }
-  A->Head = std::move(Head);
-  A->HeadSeen = true;
-  if (!A->Head.NotRun)
-    A->MayHaveRun = true;
+  Call->Head = std::move(Head);
+  Call->HasHead = true;
+  if (!Call->Head.NotRun)
+    Call->MayHaveRun = true;
 }
 
-void Forwarder::onData(Time N, SendId S, std::string Part) {
-  ActiveCall *A = find(S);
-  if (!A || !A->HeadSeen)
+void Forwarder::onData(Time Now, SendId Send, std::string Part) {
+  ActiveCall *Call = find(Send);
+  if (!Call || !Call->HasHead)
     return;
-  if (A->FirstByteAt == Time{})
-    A->FirstByteAt = N;
-  const bool Stream = isSuccess(A->Head.Status) && A->Head.EventStream;
+  if (Call->FirstByteAt == Time{})
+    Call->FirstByteAt = Now;
+  const bool Stream = isSuccess(Call->Head.Status) && Call->Head.EventStream;
   if (!Stream) {
-    A->Buffered += Part;
-    if (A->Buffered.size() <= Opts.maxBuffered())
+    Call->Buffered += Part;
+    if (Call->Buffered.size() <= Opts.maxBuffered())
       return;
-    Port.cancelSend(S);
-    settleSend(N, *A, true);
-    return onBroken(N, *A, EndReason::BadAnswer);
+    Port.cancelSend(Send);
+    finishSend(Now, *Call, true);
+    return onBroken(Now, *Call, EndReason::BadAnswer);
   }
-  std::string Whole = A->Events.feed(Part);
-  if (Whole.empty())
+  std::string Complete = Call->Events.feed(Part);
+  if (Complete.empty())
     return;
-  A->At = Stage::Streaming;
-  if (!A->HeadPassedOn) {
-    A->HeadPassedOn = true;
-    Port.answerBegin(A->Id, A->Head.Status, A->Head.Fields);
+  Call->CurrentStage = Stage::Streaming;
+  if (!Call->HeadForwarded) {
+    Call->HeadForwarded = true;
+    Port.answerBegin(Call->Id, Call->Head.Status, Call->Head.Fields);
   }
-  Port.answerData(A->Id, std::move(Whole));
+  Port.answerData(Call->Id, std::move(Complete));
 }
 
-void Forwarder::onDone(Time N, SendId S) {
-  ActiveCall *A = find(S);
-  if (!A)
+void Forwarder::onDone(Time Now, SendId Send) {
+  ActiveCall *Call = find(Send);
+  if (!Call)
     return;
-  if (A->Head.NotRun) {
-    if (A->Head.OtherInstance) {
-      Board.onReplaced(A->Upstream.Id);
-      Balancer.onReplaced(A->Upstream.Id);
+  if (Call->Head.NotRun) {
+    if (Call->Head.OtherInstance) {
+      Engines.onReplaced(Call->Upstream.Id);
+      Balancer.onReplaced(Call->Upstream.Id);
     }
-    settleSend(N, *A, true);
-    return onNotRun(N, *A);
+    finishSend(Now, *Call, true);
+    return onNotRun(Now, *Call);
   }
-  onWhole(N, *A);
+  onComplete(Now, *Call);
 }
 
-void Forwarder::onWhole(Time N, ActiveCall &A) {
-  const unsigned Status = A.Head.Status;
-  settleSend(N, A, Status >= 500);
-  const std::string Service = A.Service;
-  const bool Plain = !A.IsEngine;
-  if (isSuccess(Status) && A.Head.EventStream) {
-    if (!A.HeadPassedOn)
-      Port.answerBegin(A.Id, Status, A.Head.Fields);
-    if (std::string Rest = A.Events.takePartial(); !Rest.empty())
-      Port.answerData(A.Id, std::move(Rest));
-    Port.answerEnd(A.Id);
-    erase(N, A, ServedOutcome);
-  } else if (A.HeadPassedOn) {
-    // A resumed stream whose second run failed.
-    Port.answerAbort(A.Id);
-    erase(N, A, "cut");
-  } else if (Status >= 500 && A.Repeat == Repeatability::Idempotent &&
-             maySendAgain(N, A, true)) {
-    A.HasFailure = true;
-    A.FailureHead = A.Head;
-    A.FailureBody = std::move(A.Buffered);
-    placeAgain(N, A);
+void Forwarder::onComplete(Time Now, ActiveCall &Call) {
+  const unsigned Status = Call.Head.Status;
+  finishSend(Now, Call, Status >= 500);
+  const std::string Service = Call.Service;
+  const bool IsPlain = !Call.IsEngine;
+  if (isSuccess(Status) && Call.Head.EventStream) {
+    if (!Call.HeadForwarded)
+      Port.answerBegin(Call.Id, Status, Call.Head.Fields);
+    if (std::string Rest = Call.Events.takePartial(); !Rest.empty())
+      Port.answerData(Call.Id, std::move(Rest));
+    Port.answerEnd(Call.Id);
+    endCall(Now, Call, ServedOutcome);
+  } else if (Call.HeadForwarded) {
+    // The retry of a resumed stream failed after the caller had received a part
+    // of the answer.
+    Port.answerAbort(Call.Id);
+    endCall(Now, Call, "cut");
+  } else if (Status >= 500 && Call.Repeat == Repeatability::Idempotent &&
+             takeRetry(Now, Call, true)) {
+    Call.HasFailure = true;
+    Call.FailureHead = Call.Head;
+    Call.FailureBody = std::move(Call.Buffered);
+    placeRetry(Now, Call);
   } else if ((Status == 503 || Status == 429 || Status == 408) &&
-             A.Repeat != Repeatability::Idempotent) {
-    // The upstream does not say that it has not run; these statuses would.
-    fail(N, A, EndReason::BadAnswer);
+             Call.Repeat != Repeatability::Idempotent) {
+    // A caller would take these statuses to mean that the request did not run,
+    // which the upstream does not state.
+    fail(Now, Call, EndReason::BadAnswer);
   } else {
-    std::string Body = std::move(A.Buffered);
-    passOnWhole(N, A, AnswerHead(A.Head), std::move(Body));
+    std::string Body = std::move(Call.Buffered);
+    forwardAnswer(Now, Call, AnswerHead(Call.Head), std::move(Body));
   }
-  if (Plain)
-    serveQueue(N, Service);
+  if (IsPlain)
+    sendQueued(Now, Service);
 }
 
-void Forwarder::passOnWhole(Time N, ActiveCall &A, const AnswerHead &H,
-                            std::string Body) {
-  Port.answerWhole(A.Id, H.Status, H.Fields, std::move(Body));
-  erase(N, A, isSuccess(H.Status) ? ServedOutcome : "upstream_failure");
+void Forwarder::forwardAnswer(Time Now, ActiveCall &Call,
+                              const AnswerHead &Head, std::string Body) {
+  Port.answerWhole(Call.Id, Head.Status, Head.Fields, std::move(Body));
+  endCall(Now, Call,
+          isSuccess(Head.Status) ? ServedOutcome : "upstream_failure");
 }
 
-void Forwarder::onError(Time N, SendId S, SendError E, std::string_view Why) {
-  ActiveCall *A = find(S);
-  if (!A)
+void Forwarder::onError(Time Now, SendId Send, SendError Error,
+                        std::string_view Why) {
+  ActiveCall *Call = find(Send);
+  if (!Call)
     return;
   Port.log(LineClass::Kept,
-           "send_failed " + describe(*A) + " send=" + std::to_string(A->Sends) +
-               " sent=" + (E == SendError::NotSent ? "no" : "maybe") +
+           "send_failed " + describe(*Call) +
+               " send=" + std::to_string(Call->Sends) +
+               " sent=" + (Error == SendError::NotSent ? "no" : "maybe") +
                " why=\"" + std::string(Why) + "\"");
-  settleSend(N, *A, true);
-  if (E == SendError::NotSent) {
-    if (A->IsEngine)
-      Board.onUnreachable(N, A->Upstream.Id);
+  finishSend(Now, *Call, true);
+  if (Error == SendError::NotSent) {
+    if (Call->IsEngine)
+      Engines.onUnreachable(Now, Call->Upstream.Id);
     else
-      Balancer.onUnreachable(N, A->Upstream.Id);
-    // Nothing has left, so this was no send.
-    --A->Sends;
-    if (A->HeadPassedOn || A->Asks >= Opts.maxAsks())
-      return onBroken(N, *A, EndReason::NotAccepted);
-    return placeAgain(N, *A);
+      Balancer.onUnreachable(Now, Call->Upstream.Id);
+    // Nothing was sent, so this does not count as a send.
+    --Call->Sends;
+    if (Call->HeadForwarded ||
+        Call->AdmissionRequests >= Opts.maxAdmissionRequests())
+      return onBroken(Now, *Call, EndReason::NotAccepted);
+    return placeRetry(Now, *Call);
   }
-  A->MayHaveRun = true;
-  onBroken(N, *A, EndReason::Broken);
+  Call->MayHaveRun = true;
+  onBroken(Now, *Call, EndReason::Broken);
 }
 
-bool Forwarder::maySendAgain(Time N, ActiveCall &A, bool AfterRun) {
-  if (AfterRun && A.Repeat == Repeatability::AtMostOnce)
+bool Forwarder::takeRetry(Time Now, ActiveCall &Call, bool AfterRun) {
+  if (AfterRun && Call.Repeat == Repeatability::AtMostOnce)
     return false;
-  if (A.Sends >= A.MaxAttempts || A.Deadline - N < A.Objective / 10)
+  if (Call.Sends >= Call.MaxAttempts ||
+      Call.Deadline - Now < Call.Objective / 10)
     return false;
-  return Allowances.at(A.Service).take(N, Board.entries());
+  return Allowances.at(Call.Service).take(Now, Engines.entries());
 }
 
-void Forwarder::placeAgain(Time N, ActiveCall &A) {
-  if (!A.IsEngine)
-    return placePlain(N, A);
-  A.Asks = 0;
-  placeEngine(N, A);
+void Forwarder::placeRetry(Time Now, ActiveCall &Call) {
+  if (!Call.IsEngine)
+    return placeOnService(Now, Call);
+  Call.AdmissionRequests = 0;
+  placeOnEngine(Now, Call);
 }
 
-void Forwarder::onNotRun(Time N, ActiveCall &A) {
-  if (maySendAgain(N, A, false))
-    return placeAgain(N, A);
-  fail(N, A, EndReason::NotAccepted);
+void Forwarder::onNotRun(Time Now, ActiveCall &Call) {
+  if (takeRetry(Now, Call, false))
+    return placeRetry(Now, Call);
+  fail(Now, Call, EndReason::NotAccepted);
 }
 
-void Forwarder::onBroken(Time N, ActiveCall &A, EndReason Why) {
-  if (A.MayHaveRun && maySendAgain(N, A, true))
-    return placeAgain(N, A);
-  fail(N, A, Why);
+void Forwarder::onBroken(Time Now, ActiveCall &Call, EndReason Why) {
+  if (Call.MayHaveRun && takeRetry(Now, Call, true))
+    return placeRetry(Now, Call);
+  fail(Now, Call, Why);
 }
 
 // Ends.
 
-Duration Forwarder::retryAfter(Time N, const ActiveCall &A) {
-  const Duration Left = A.Call.TimeLeft > Duration(0)
-                            ? A.Call.TimeLeft - (N - A.Arrived)
-                            : MaxRetryAfter;
-  const Duration Base = std::max(A.ComeBack, MinRetryAfter);
+Duration Forwarder::retryAfter(Time Now, const ActiveCall &Call) {
+  const Duration Remaining = Call.Request.TimeLeft > Duration(0)
+                                 ? Call.Request.TimeLeft - (Now - Call.Arrived)
+                                 : MaxRetryAfter;
+  const Duration Base = std::max(Call.RetryDelay, MinRetryAfter);
   const Duration Spread = Duration(static_cast<int64_t>(
       static_cast<double>(Base.count()) * RetryAfterSpread * Rand.unit()));
   return std::min(
-      {Base + Spread, MaxRetryAfter, std::max(MinRetryAfter, Left / 3)});
+      {Base + Spread, MaxRetryAfter, std::max(MinRetryAfter, Remaining / 3)});
 }
 
-void Forwarder::fail(Time N, ActiveCall &A, EndReason Why) {
-  if (A.HeadPassedOn) {
-    Port.answerAbort(A.Id);
-    return erase(N, A, wordOf(Why));
+void Forwarder::fail(Time Now, ActiveCall &Call, EndReason Why) {
+  if (Call.HeadForwarded) {
+    Port.answerAbort(Call.Id);
+    return endCall(Now, Call, wordOf(Why));
   }
-  if (A.HasFailure) {
-    std::string Body = std::move(A.FailureBody);
-    return passOnWhole(N, A, AnswerHead(A.FailureHead), std::move(Body));
+  if (Call.HasFailure) {
+    std::string Body = std::move(Call.FailureBody);
+    return forwardAnswer(Now, Call, AnswerHead(Call.FailureHead),
+                         std::move(Body));
   }
-  if (!A.MayHaveRun)
-    Port.answerOwn(A.Id, 503, A.Call.RequestId, retryAfter(N, A), Why);
+  if (!Call.MayHaveRun)
+    Port.answerOwn(Call.Id, 503, Call.Request.RequestId, retryAfter(Now, Call),
+                   Why);
   else
-    Port.answerOwn(A.Id, Why == EndReason::TimedOut ? 504 : 502,
-                   A.Call.RequestId, Duration(0), Why);
-  erase(N, A, wordOf(Why));
+    Port.answerOwn(Call.Id, Why == EndReason::TimedOut ? 504 : 502,
+                   Call.Request.RequestId, Duration(0), Why);
+  endCall(Now, Call, wordOf(Why));
 }
 
-void Forwarder::erase(Time N, ActiveCall &A, std::string_view Outcome) {
+void Forwarder::endCall(Time Now, ActiveCall &Call, std::string_view Outcome) {
   Port.log(
       Outcome == ServedOutcome ? LineClass::Routine : LineClass::Kept,
-      "end " + describe(A) + " outcome=" + std::string(Outcome) + " sends=" +
-          std::to_string(A.Sends) + " asks=" + std::to_string(A.Asks) +
-          " may_have_run=" + (A.MayHaveRun ? "yes" : "no") + " first_ms=" +
-          std::to_string(A.FirstByteAt == Time{}
+      "end " + describe(Call) + " outcome=" + std::string(Outcome) +
+          " sends=" + std::to_string(Call.Sends) +
+          " asks=" + std::to_string(Call.AdmissionRequests) +
+          " may_have_run=" + (Call.MayHaveRun ? "yes" : "no") + " first_ms=" +
+          std::to_string(Call.FirstByteAt == Time{}
                              ? -1
-                             : (A.FirstByteAt - A.Arrived).count() / 1000) +
-          " total_ms=" + std::to_string((N - A.Arrived).count() / 1000));
-  Port.record(A.Rank, Outcome,
-              A.FirstByteAt == Time{} ? Duration(0) : A.FirstByteAt - A.Arrived,
-              N - A.Arrived);
-  Calls.erase(A.Id);
+                             : (Call.FirstByteAt - Call.Arrived).count() /
+                                   1000) +
+          " total_ms=" + std::to_string((Now - Call.Arrived).count() / 1000));
+  Port.record(Call.Rank, Outcome,
+              Call.FirstByteAt == Time{} ? Duration(0)
+                                         : Call.FirstByteAt - Call.Arrived,
+              Now - Call.Arrived);
+  Calls.erase(Call.Id);
 }
 
-std::string Forwarder::describe(const ActiveCall &A) const {
-  std::string Out = "id=" + A.Call.RequestId + " route=" + A.RouteName +
-                    " rank=" + std::to_string(A.Rank);
-  if (A.IsEngine)
-    Out += " model=" + A.Call.Ask.Model + " adapter=" + A.Call.Ask.Adapter +
-           " prompt=" + std::to_string(A.Call.Ask.PromptTokens);
-  if (!A.Upstream.Id.empty())
-    Out += " upstream=" + A.Upstream.Id;
+std::string Forwarder::describe(const ActiveCall &Call) const {
+  std::string Out = "id=" + Call.Request.RequestId +
+                    " route=" + Call.RouteName +
+                    " rank=" + std::to_string(Call.Rank);
+  if (Call.IsEngine)
+    Out += " model=" + Call.Request.Ask.Model +
+           " adapter=" + Call.Request.Ask.Adapter +
+           " prompt=" + std::to_string(Call.Request.Ask.PromptTokens);
+  if (!Call.Upstream.Id.empty())
+    Out += " upstream=" + Call.Upstream.Id;
   return Out;
 }
 
@@ -287,47 +306,50 @@
 
 void Forwarder::schedule(Time When, uint64_t Id) { Timers.push({When, Id}); }
 
-void Forwarder::onTimer(Time N) {
-  while (!Timers.empty() && Timers.top().first <= N) {
+void Forwarder::onTimer(Time Now) {
+  while (!Timers.empty() && Timers.top().first <= Now) {
     const uint64_t Id = Timers.top().second;
     Timers.pop();
     if (const auto It = Calls.find(Id); It != Calls.end())
-      onDue(N, It->second);
+      onDue(Now, It->second);
   }
 }
 
-void Forwarder::onDue(Time N, ActiveCall &A) {
-  if (N >= A.Deadline) {
-    if (A.At == Stage::Sent || A.At == Stage::Streaming) {
-      // It may have run even if nothing has been heard of it.
-      A.MayHaveRun = true;
-      Port.cancelSend({A.Id, A.Sends});
-      settleSend(N, A, !A.HeadSeen);
+void Forwarder::onDue(Time Now, ActiveCall &Call) {
+  if (Now >= Call.Deadline) {
+    if (Call.CurrentStage == Stage::Sent ||
+        Call.CurrentStage == Stage::Streaming) {
+      // The upstream may have run the request even if no answer arrived.
+      Call.MayHaveRun = true;
+      Port.cancelSend({Call.Id, Call.Sends});
+      finishSend(Now, Call, !Call.HasHead);
     } else {
-      leaveSide(A);
+      endAdmission(Call);
     }
-    return fail(N, A, EndReason::TimedOut);
+    return fail(Now, Call, EndReason::TimedOut);
   }
-  if (N < A.StageUntil)
+  if (Now < Call.StageUntil)
     return;
-  switch (A.At) {
-  case Stage::Asking:
-    Port.log(LineClass::Kept, "side_silent " + describe(A));
-    Board.onSideSilent(N, A.Upstream.Id);
-    leaveSide(A);
-    Port.sideSilent(A.Upstream);
-    // The engine's own refusal is true, so a send is safe without its side.
-    if (A.UpstreamHolds && isUsable(A.Upstream.Id))
-      return sendTo(
-          N, A, Known->releasedVersion(A.Call.Ask.Model, A.Call.Ask.Adapter));
-    A.Tried.insert(A.Upstream.Id);
-    return placeEngine(N, A);
-  case Stage::Waiting:
-    leaveSide(A);
-    A.Tried.insert(A.Upstream.Id);
-    return placeEngine(N, A);
+  switch (Call.CurrentStage) {
+  case Stage::AdmissionRequested:
+    Port.log(LineClass::Kept, "side_silent " + describe(Call));
+    Engines.onSideSilent(Now, Call.Upstream.Id);
+    endAdmission(Call);
+    Port.sideSilent(Call.Upstream);
+    // An engine reliably refuses what it cannot serve, so sending to it without
+    // admission by its side is safe.
+    if (Call.UpstreamHoldsAdapter && isUsable(Call.Upstream.Id))
+      return sendTo(Now, Call,
+                    CurrentCatalog->releasedVersion(Call.Request.Ask.Model,
+                                                    Call.Request.Ask.Adapter));
+    Call.TriedUpstreams.insert(Call.Upstream.Id);
+    return placeOnEngine(Now, Call);
+  case Stage::WaitingAtSide:
+    endAdmission(Call);
+    Call.TriedUpstreams.insert(Call.Upstream.Id);
+    return placeOnEngine(Now, Call);
   case Stage::Queued:
-    return fail(N, A, EndReason::Overloaded);
+    return fail(Now, Call, EndReason::Overloaded);
   case Stage::Sent:
   case Stage::Streaming:
     return;
--- a/forward/retry_allowance.h
+++ b/forward/retry_allowance.h
@@ -1,9 +1,9 @@
-// Bounds second sends to a service over a sliding window, for this entry's
-// share of the fleet's allowance, without a coordinator.
+// Limits an entry's retries to one service within a sliding window. Each entry
+// keeps to its share of the fleet-wide limit, so no coordinator is needed.
 //
 //   RetryAllowance A(RetryAllowance::Options().setRatio(0.2).setSlack(56));
-//   A.onRequest(N);
-//   if (A.take(N, EntriesAlive)) sendAgain();
+//   A.onRequest(Now);
+//   if (A.take(Now, EntriesAlive)) retry();
 #ifndef GOLDCRESTLINK_FORWARD_RETRY_ALLOWANCE_H
 #define GOLDCRESTLINK_FORWARD_RETRY_ALLOWANCE_H
 
@@ -22,14 +22,14 @@
     double ratio() const { return Ratio; }
     double slack() const { return Slack; }
     Duration window() const { return Window; }
-    /// Retries allowed per request, fleet-wide, by the platform's bounds.
-    Options &setRatio(double R) {
-      Ratio = R;
+    /// Retries per request that the platform allows the whole fleet.
+    Options &setRatio(double NewRatio) {
+      Ratio = NewRatio;
       return *this;
     }
-    /// Retries allowed per window beyond the ratio, fleet-wide.
-    Options &setSlack(double S) {
-      Slack = S;
+    /// Retries per window that the whole fleet may make beyond the ratio.
+    Options &setSlack(double NewSlack) {
+      Slack = NewSlack;
       return *this;
     }
     Options &setWindow(Duration D) {
@@ -45,11 +45,11 @@
 
   explicit RetryAllowance(Options O) : Opts(O) {}
 
-  /// A caller's request on a route to the service has arrived.
-  void onRequest(Time N);
-  /// Takes one second send; false if this entry's share is used up.
-  /// \p Entries is the number of entries that share, at least 1.
-  bool take(Time N, size_t Entries);
+  /// Counts a caller's request on a route to the service.
+  void onRequest(Time Now);
+  /// Takes one retry; returns false if this entry's share is used up.
+  /// \p Entries is the number of entries that share the limit, at least 1.
+  bool take(Time Now, size_t Entries);
 
 private:
   static constexpr size_t Buckets = 20;
@@ -58,10 +58,12 @@
     uint32_t Retries = 0;
   };
 
-  void advance(Time N);
+  /// Clears the buckets whose time has passed out of the window.
+  void advance(Time Now);
 
   Options Opts;
   std::array<Bucket, Buckets> Ring{};
+  // Number of the newest bucket, counted from the clock's epoch.
   int64_t Head = 0;
 };
 
--- a/forward/service_balancer.cc
+++ b/forward/service_balancer.cc
@@ -1,26 +1,29 @@
-// One pass over the service's upstreams per choice. Shares of places are equal
-// among entries and at least one, so an entry that is alone may use them all.
+// A choice takes one pass over the service's upstreams. All entries get equal
+// shares of an upstream's slots, at least one call each; a single entry may use
+// all slots.
 #include "forward/service_balancer.h"
 
 #include <algorithm>
 
 namespace goldcrestlink::forward {
 
-void ServiceBalancer::onSent(const std::string &Id) { ++Views[Id].Outstanding; }
+void ServiceBalancer::onSent(const std::string &Id) {
+  ++States[Id].Outstanding;
+}
 
-void ServiceBalancer::onEnded(Time N, const std::string &Id, bool Failed) {
-  View &V = Views[Id];
-  if (V.Outstanding > 0)
-    --V.Outstanding;
-  V.Health.onOutcome(N, Failed);
+void ServiceBalancer::onEnded(Time Now, const std::string &Id, bool Failed) {
+  UpstreamState &State = States[Id];
+  if (State.Outstanding > 0)
+    --State.Outstanding;
+  State.Health.onOutcome(Now, Failed);
 }
 
-void ServiceBalancer::onUnreachable(Time N, const std::string &Id) {
-  Views[Id].Health.onUnreachable(N, Opts.failurePause());
+void ServiceBalancer::onUnreachable(Time Now, const std::string &Id) {
+  States[Id].Health.onUnreachable(Now, Opts.unreachableBackoff());
 }
 
 void ServiceBalancer::onReplaced(const std::string &Id) {
-  Views[Id].Health.onReplaced();
+  States[Id].Health.onReplaced();
 }
 
 void ServiceBalancer::setEntries(size_t Count) {
@@ -29,26 +32,28 @@
 
 void ServiceBalancer::retain(
     const std::map<std::string, UpstreamRecord> &Known) {
-  std::erase_if(Views, [&](const auto &Item) {
+  std::erase_if(States, [&](const auto &Item) {
     return !Known.contains(Item.first) && Item.second.Outstanding == 0;
   });
 }
 
 const UpstreamRecord *
-ServiceBalancer::choose(Time N, std::span<const UpstreamRecord *const> Among,
+ServiceBalancer::choose(Time Now,
+                        std::span<const UpstreamRecord *const> Upstreams,
                         const std::set<std::string> &Excluded) const {
   const UpstreamRecord *Best = nullptr;
   double BestCost = 0;
-  static const View Unknown;
-  for (const UpstreamRecord *U : Among) {
-    const auto It = Views.find(U->Id);
-    const View &V = It == Views.end() ? Unknown : It->second;
+  static const UpstreamState Unknown;
+  for (const UpstreamRecord *U : Upstreams) {
+    const auto It = States.find(U->Id);
+    const UpstreamState &State = It == States.end() ? Unknown : It->second;
     const double Share = std::max(1.0, U->Slots * Opts.queueFactor() /
                                            static_cast<double>(Entries));
-    if (!V.Health.usable(N) || V.Outstanding >= Share ||
+    if (!State.Health.usable(Now) || State.Outstanding >= Share ||
         Excluded.contains(U->Id))
       continue;
-    double Cost = V.Outstanding + Opts.failureCost() * V.Health.failureShare(N);
+    double Cost =
+        State.Outstanding + Opts.failureCost() * State.Health.failureShare(Now);
     if (U->DataCentre != Opts.dataCentre())
       Cost += Opts.distanceCost();
     if (!Best || Cost < BestCost) {
--- a/forward/service_balancer.h
+++ b/forward/service_balancer.h
@@ -1,10 +1,10 @@
-// Chooses among the upstreams of a plain service: least loaded by this entry's
-// own calls, failures and distance considered, within this entry's share of
-// each upstream's places.
+// Chooses an upstream of a plain service: the one with the lowest cost, which
+// counts this entry's own open calls, recent failures and distance. An entry
+// uses at most its share of each upstream's slots.
 //
 //   ServiceBalancer B(ServiceBalancer::Options().setDataCentre("dc-1"));
-//   const UpstreamRecord *U = B.choose(N, Upstreams, Excluded);
-//   B.onSent(U->Id);  ...  B.onEnded(N, U->Id, Failed, Took);
+//   const UpstreamRecord *U = B.choose(Now, Upstreams, Excluded);
+//   B.onSent(U->Id);  ...  B.onEnded(Now, U->Id, Failed);
 #ifndef GOLDCRESTLINK_FORWARD_SERVICE_BALANCER_H
 #define GOLDCRESTLINK_FORWARD_SERVICE_BALANCER_H
 
@@ -28,7 +28,7 @@
     double queueFactor() const { return QueueFactor; }
     double distanceCost() const { return DistanceCost; }
     double failureCost() const { return FailureCost; }
-    Duration failurePause() const { return FailurePause; }
+    Duration unreachableBackoff() const { return UnreachableBackoff; }
     Options &setDataCentre(std::string Name) {
       DataCentre = std::move(Name);
       return *this;
@@ -36,14 +36,15 @@
 
   private:
     std::string DataCentre;
-    // Calls of all entries that may stand at an upstream, per place; upstreams
-    // queue a few, and reject the rest.
+    // Open calls of all entries allowed per slot of an upstream. Upstreams
+    // queue a few calls beyond their slots and reject the rest.
     double QueueFactor = 2.5;
-    // In calls that stand ahead.
+    // Cost of an upstream in another data centre, in open calls.
     double DistanceCost = 0.5;
+    // Cost of an upstream that fails every call, in open calls.
     double FailureCost = 8;
-    // An upstream that took no connection is left alone this long.
-    Duration FailurePause = std::chrono::milliseconds(500);
+    // First backoff after an upstream did not accept a connection.
+    Duration UnreachableBackoff = std::chrono::milliseconds(500);
   };
 
   explicit ServiceBalancer(Options O) : Opts(std::move(O)) {}
@@ -51,30 +52,35 @@
   // Commands.
 
   void onSent(const std::string &Id);
-  /// A call ended. \p Failed: broken, rejected, or the upstream's own failure.
-  void onEnded(Time N, const std::string &Id, bool Failed);
-  void onUnreachable(Time N, const std::string &Id);
+  /// A call ended. \p Failed is true if the connection broke, the upstream
+  /// rejected the call, or it answered with a failure of its own.
+  void onEnded(Time Now, const std::string &Id, bool Failed);
+  /// The upstream refused a connection or did not accept it in time.
+  void onUnreachable(Time Now, const std::string &Id);
+  /// Another incarnation answers at the upstream's address.
   void onReplaced(const std::string &Id);
+  /// Sets the number of entries that share the slots, this one included.
   void setEntries(size_t Count);
-  /// Forgets idle upstreams that are not in \p Known.
+  /// Removes upstreams that are not in \p Known and have no open calls.
   void retain(const std::map<std::string, UpstreamRecord> &Known);
 
   // Queries.
 
-  /// Null if none can be used or all shares are taken.
-  const UpstreamRecord *choose(Time N,
-                               std::span<const UpstreamRecord *const> Among,
+  /// Returns the cheapest upstream, or null if none can be used or this entry's
+  /// share is used up at each.
+  const UpstreamRecord *choose(Time Now,
+                               std::span<const UpstreamRecord *const> Upstreams,
                                const std::set<std::string> &Excluded) const;
 
 private:
-  struct View {
+  struct UpstreamState {
     uint32_t Outstanding = 0;
     UpstreamHealth Health;
   };
 
   Options Opts;
   size_t Entries = 4;
-  std::unordered_map<std::string, View> Views;
+  std::unordered_map<std::string, UpstreamState> States;
 };
 
 } // namespace goldcrestlink::forward
--- a/forward/testing/forwarder_test.cc
+++ b/forward/testing/forwarder_test.cc
@@ -1,5 +1,5 @@
-// An entry's decisions about callers' requests, by what callers get and what
-// upstreams are sent.
+// Forwarder, checked by the answers that callers get and the requests that are
+// sent to sides and upstreams.
 #include <doctest/doctest.h>
 
 #include "forward/forwarder.h"
@@ -63,36 +63,37 @@
   return C;
 }
 
-// Records what the Forwarder wants done.
+// Records the actions that a Forwarder requests.
 struct Recorder : ForwardPort {
   struct Sent {
     SendId Id;
     SendTerms Terms;
   };
-  struct Asked {
+  struct SentAdmission {
     std::string Upstream;
     AdmissionAsk Ask;
   };
 
   void ask(const UpstreamRecord &Of, const AdmissionAsk &A) override {
-    Asks.push_back({Of.Id, A});
+    Admissions.push_back({Of.Id, A});
   }
   void endAsk(const UpstreamRecord &, uint64_t AskId, Duration) override {
-    EndedAsks.insert(AskId);
+    EndedAdmissions.insert(AskId);
   }
   void sideSilent(const UpstreamRecord &) override { ++SilentSides; }
   void send(SendId S, const CallerCall &, const SendTerms &T) override {
     Sends.push_back({S, T});
   }
   void cancelSend(SendId) override { ++Cancelled; }
-  void answerWhole(uint64_t, unsigned Given, const http::Headers &,
+  void answerWhole(uint64_t, unsigned NewStatus, const http::Headers &,
                    std::string Text) override {
-    Status = Given;
+    Status = NewStatus;
     Body = std::move(Text);
     ++Ends;
   }
-  void answerBegin(uint64_t, unsigned Given, const http::Headers &) override {
-    Status = Given;
+  void answerBegin(uint64_t, unsigned NewStatus,
+                   const http::Headers &) override {
+    Status = NewStatus;
   }
   void answerData(uint64_t, std::string Part) override { Body += Part; }
   void answerEnd(uint64_t) override { ++Ends; }
@@ -100,9 +101,9 @@
     Aborted = true;
     ++Ends;
   }
-  void answerOwn(uint64_t, unsigned Given, std::string_view, Duration After,
+  void answerOwn(uint64_t, unsigned NewStatus, std::string_view, Duration After,
                  EndReason Why) override {
-    Status = Given;
+    Status = NewStatus;
     RetryAfter = After;
     Reason = Why;
     ++Ends;
@@ -110,9 +111,9 @@
   void log(LineClass, std::string) override {}
   void record(uint32_t, std::string_view, Duration, Duration) override {}
 
-  std::vector<Asked> Asks;
+  std::vector<SentAdmission> Admissions;
   std::vector<Sent> Sends;
-  std::set<uint64_t> EndedAsks;
+  std::set<uint64_t> EndedAdmissions;
   unsigned Status = 0;
   std::string Body;
   Duration RetryAfter{};
@@ -139,12 +140,12 @@
     Machine.onCall(at(1), 1, std::move(C));
   }
 
-  void go(int64_t Ms, Verdict V = Verdict::Go) {
+  void replyAdmission(int64_t Ms, Verdict V = Verdict::Go) {
     AdmissionReply R;
     R.What = V;
     R.Version = 1;
     R.Expected = std::chrono::milliseconds(400);
-    const Recorder::Asked &A = Port.Asks.back();
+    const Recorder::SentAdmission &A = Port.Admissions.back();
     Machine.onAdmission(at(Ms), A.Upstream, A.Ask.Id, R);
   }
 
@@ -165,7 +166,7 @@
     Machine.onDone(at(Ms), S);
   }
 
-  void breakOff(int64_t Ms, SendError E = SendError::Broken) {
+  void failSend(int64_t Ms, SendError E = SendError::Broken) {
     Machine.onError(at(Ms), Port.Sends.back().Id, E, "reset");
   }
 
@@ -173,11 +174,11 @@
   Forwarder Machine;
 };
 
-enum class Event {
-  Whole,
+enum class SendResult {
+  Complete,
   Failure500,
   NotRun503,
-  Unsure503,
+  Unstated503,
   Broken,
   NotSent,
   Unsigned
@@ -185,27 +186,28 @@
 
 struct Row {
   const char *Target;
-  Event What;
+  SendResult What;
   size_t Sends;
-  // Of the answer, once no further send is made; 0: none yet.
+  // Status of the caller's answer; 0 if the call was sent again and has no
+  // answer yet.
   unsigned Status;
 };
 
-void play(Entry &E, Event What) {
+void applyResult(Entry &E, SendResult What) {
   switch (What) {
-  case Event::Whole:
+  case SendResult::Complete:
     return E.answer(10, Entry::head(200), "id: 1\n\n");
-  case Event::Failure500:
+  case SendResult::Failure500:
     return E.answer(10, Entry::head(500), "no");
-  case Event::NotRun503:
+  case SendResult::NotRun503:
     return E.answer(10, Entry::head(503, true), "");
-  case Event::Unsure503:
+  case SendResult::Unstated503:
     return E.answer(10, Entry::head(503), "");
-  case Event::Broken:
-    return E.breakOff(10);
-  case Event::NotSent:
-    return E.breakOff(10, SendError::NotSent);
-  case Event::Unsigned: {
+  case SendResult::Broken:
+    return E.failSend(10);
+  case SendResult::NotSent:
+    return E.failSend(10, SendError::NotSent);
+  case SendResult::Unsigned: {
     AnswerHead H = Entry::head(200);
     H.Signed = false;
     return E.answer(10, H, "x");
@@ -215,38 +217,38 @@
 
 } // namespace
 
-TEST_CASE("what is sent again follows from the route and the outcome") {
+TEST_CASE("the route and the outcome determine what is retried") {
   const Row Rows[] = {
-      {"/once/x", Event::Whole, 1, 200},
-      {"/once/x", Event::Failure500, 1, 500},
-      {"/once/x", Event::NotRun503, 2, 0},
-      {"/once/x", Event::Unsure503, 1, 502},
-      {"/once/x", Event::Broken, 1, 502},
-      {"/once/x", Event::NotSent, 2, 0},
-      {"/once/x", Event::Unsigned, 1, 502},
-      {"/read/x", Event::Whole, 1, 200},
-      {"/read/x", Event::Failure500, 2, 0},
-      {"/read/x", Event::NotRun503, 2, 0},
-      {"/read/x", Event::Broken, 2, 0},
-      {"/read/x", Event::Unsigned, 2, 0},
-      {"/stream/x", Event::Whole, 1, 200},
-      {"/stream/x", Event::Broken, 1, 502},
-      {"/stream/x", Event::NotRun503, 2, 0},
-      {"/resume/x", Event::Broken, 2, 0},
-      {"/resume/x", Event::Whole, 1, 200},
+      {"/once/x", SendResult::Complete, 1, 200},
+      {"/once/x", SendResult::Failure500, 1, 500},
+      {"/once/x", SendResult::NotRun503, 2, 0},
+      {"/once/x", SendResult::Unstated503, 1, 502},
+      {"/once/x", SendResult::Broken, 1, 502},
+      {"/once/x", SendResult::NotSent, 2, 0},
+      {"/once/x", SendResult::Unsigned, 1, 502},
+      {"/read/x", SendResult::Complete, 1, 200},
+      {"/read/x", SendResult::Failure500, 2, 0},
+      {"/read/x", SendResult::NotRun503, 2, 0},
+      {"/read/x", SendResult::Broken, 2, 0},
+      {"/read/x", SendResult::Unsigned, 2, 0},
+      {"/stream/x", SendResult::Complete, 1, 200},
+      {"/stream/x", SendResult::Broken, 1, 502},
+      {"/stream/x", SendResult::NotRun503, 2, 0},
+      {"/resume/x", SendResult::Broken, 2, 0},
+      {"/resume/x", SendResult::Complete, 1, 200},
   };
   for (const Row &R : Rows) {
     CAPTURE(R.Target);
     CAPTURE(static_cast<int>(R.What));
     Entry E;
     E.call(R.Target);
-    if (!E.Port.Asks.empty())
-      E.go(2);
+    if (!E.Port.Admissions.empty())
+      E.replyAdmission(2);
     REQUIRE(E.Port.Sends.size() == 1);
-    const size_t AsksBefore = E.Port.Asks.size();
-    play(E, R.What);
-    if (E.Port.Asks.size() > AsksBefore)
-      E.go(12);
+    const size_t AdmissionsBefore = E.Port.Admissions.size();
+    applyResult(E, R.What);
+    if (E.Port.Admissions.size() > AdmissionsBefore)
+      E.replyAdmission(12);
     CHECK(E.Port.Sends.size() == R.Sends);
     CHECK(E.Port.Status == R.Status);
     CHECK(E.Port.Ends == (R.Status == 0 ? 0 : 1));
@@ -255,35 +257,35 @@
   }
 }
 
-TEST_CASE("no more upstreams are tried than the route allows") {
+TEST_CASE("the route bounds the number of attempts") {
   Entry E;
   E.call("/read/x");
-  E.breakOff(10);
+  E.failSend(10);
   REQUIRE(E.Port.Sends.size() == 2);
-  E.breakOff(20);
+  E.failSend(20);
   CHECK(E.Port.Sends.size() == 2);
   CHECK(E.Port.Status == 502);
 }
 
-TEST_CASE("an upstream's own failure is passed on if the repeat fails") {
+TEST_CASE("an upstream's own failure is forwarded if the retry fails") {
   Entry E;
   E.call("/read/x");
   E.answer(10, Entry::head(500), "first");
-  E.breakOff(20);
+  E.failSend(20);
   CHECK(E.Port.Status == 500);
   CHECK(E.Port.Body == "first");
 }
 
-TEST_CASE("a stream goes on after its last whole event") {
+TEST_CASE("a resumed stream continues after its last complete event") {
   Entry E;
   E.call("/resume/x");
-  E.go(2);
+  E.replyAdmission(2);
   const SendId First = E.Port.Sends.back().Id;
   E.Machine.onHead(at(5), First, Entry::head(200));
   E.Machine.onData(at(6), First,
                    "id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\nda");
-  E.breakOff(10);
-  E.go(12);
+  E.failSend(10);
+  E.replyAdmission(12);
   REQUIRE(E.Port.Sends.size() == 2);
   CHECK(E.Port.Sends[1].Terms.AfterEvent == "2");
   E.answer(20, Entry::head(200), "id: 3\ndata: c\n\n");
@@ -292,67 +294,68 @@
   CHECK_FALSE(E.Port.Aborted);
 }
 
-TEST_CASE("a stream that may not be resumed ends visibly broken") {
+TEST_CASE("a stream that may not be resumed is aborted when it breaks") {
   Entry E;
   E.call("/stream/x");
-  E.go(2);
+  E.replyAdmission(2);
   const SendId S = E.Port.Sends.back().Id;
   E.Machine.onHead(at(5), S, Entry::head(200));
   E.Machine.onData(at(6), S, "id: 1\ndata: a\n\n");
-  E.breakOff(10);
+  E.failSend(10);
   CHECK(E.Port.Aborted);
   CHECK(E.Port.Sends.size() == 1);
 }
 
-TEST_CASE("a refusal says when to come back, within a third of the time left") {
+TEST_CASE("Retry-After of a refusal is at most a third of the time left") {
   Entry E;
   E.call("/stream/x", 900);
   for (int I = 0; I < 3; ++I)
-    E.go(2 + I, Verdict::Refuse);
+    E.replyAdmission(2 + I, Verdict::Refuse);
   CHECK(E.Port.Status == 503);
   CHECK(E.Port.Sends.empty());
   CHECK(E.Port.RetryAfter > Duration(0));
   CHECK(E.Port.RetryAfter <= std::chrono::milliseconds(300));
 }
 
-TEST_CASE("a side that does not answer is passed over") {
+TEST_CASE("a side that does not answer is skipped") {
   Entry E;
   E.call("/stream/x");
-  const std::string Silent = E.Port.Asks.back().Upstream;
+  const std::string Silent = E.Port.Admissions.back().Upstream;
   E.Machine.onTimer(at(150));
   CHECK(E.Port.SilentSides == 1);
-  REQUIRE(E.Port.Asks.size() >= 2);
-  CHECK(E.Port.Asks.back().Upstream != Silent);
+  REQUIRE(E.Port.Admissions.size() >= 2);
+  CHECK(E.Port.Admissions.back().Upstream != Silent);
 }
 
-TEST_CASE("without its side, an engine that holds the adapter is sent to") {
+TEST_CASE("a call is sent without admission if the silent side's engine holds "
+          "the adapter") {
   Entry E;
   EngineLoad L;
   L.Serving = true;
   L.Held = {adapterHash("m", "a1")};
   E.Machine.onLoad(at(0), "e2", L);
   E.call("/stream/x");
-  REQUIRE(E.Port.Asks.back().Upstream == "e2");
+  REQUIRE(E.Port.Admissions.back().Upstream == "e2");
   E.Machine.onTimer(at(150));
   REQUIRE(E.Port.Sends.size() == 1);
   CHECK(E.Port.Sends[0].Terms.To.Id == "e2");
 }
 
-TEST_CASE("nothing new goes to a leaving upstream") {
+TEST_CASE("no new call is sent to a draining upstream") {
   Entry E;
   E.call("/stream/x");
-  const std::string First = E.Port.Asks.back().Upstream;
+  const std::string First = E.Port.Admissions.back().Upstream;
   auto C = deployment();
-  const UpstreamRecord Leaving = [&] {
+  const UpstreamRecord Draining = [&] {
     UpstreamRecord U = upstream(First.c_str(), "engines");
     U.Draining = true;
     return U;
   }();
-  C->applyUpstream(at(5), 100, First, &Leaving);
+  C->applyUpstream(at(5), 100, First, &Draining);
   E.Machine.onCatalog(at(5), C);
-  // The request that waited there has moved on.
-  CHECK(E.Port.Asks.back().Upstream != First);
-  E.go(6);
+  // The call that waited there is placed on another engine.
+  CHECK(E.Port.Admissions.back().Upstream != First);
+  E.replyAdmission(6);
   REQUIRE(E.Port.Sends.size() == 1);
   CHECK(E.Port.Sends[0].Terms.To.Id != First);
 }
@@ -368,8 +371,8 @@
     CAPTURE(R.Target);
     Entry E;
     E.call(R.Target, 60000);
-    if (!E.Port.Asks.empty())
-      E.go(2);
+    if (!E.Port.Admissions.empty())
+      E.replyAdmission(2);
     E.Machine.onTimer(at(4990));
     CHECK(E.Port.Ends == 0);
     E.Machine.onTimer(at(5002));
@@ -379,25 +382,25 @@
   }
 }
 
-TEST_CASE("a caller that leaves frees its upstream at once") {
+TEST_CASE("a caller that disconnects frees its upstream at once") {
   Entry E;
   E.call("/stream/x");
-  E.go(2);
-  const uint64_t Ask = E.Port.Asks.back().Ask.Id;
+  E.replyAdmission(2);
+  const uint64_t Ask = E.Port.Admissions.back().Ask.Id;
   E.Machine.onCallerGone(at(5), 1);
   CHECK(E.Port.Cancelled == 1);
-  CHECK(E.Port.EndedAsks.contains(Ask));
+  CHECK(E.Port.EndedAdmissions.contains(Ask));
   CHECK(E.Machine.callsInProgress() == 0);
 }
 
-TEST_CASE("own refusals before any decision") {
-  struct OwnRow {
+TEST_CASE("invalid calls and calls without a configuration are rejected") {
+  struct RejectionRow {
     const char *Target;
     const char *Id;
     unsigned Status;
   };
-  for (const OwnRow &R :
-       {OwnRow{"/none/x", "r", 404}, OwnRow{"/once/x", "", 400}}) {
+  for (const RejectionRow &R :
+       {RejectionRow{"/none/x", "r", 404}, RejectionRow{"/once/x", "", 400}}) {
     Entry E;
     CallerCall C;
     C.Host = "h";
--- a/forward/testing/parts_test.cc
+++ b/forward/testing/parts_test.cc
@@ -1,4 +1,5 @@
-// The parts that a Forwarder decides with.
+// The classes that a Forwarder uses to decide: retry allowance, event splitter,
+// engine ranking and service balancing.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -24,8 +25,9 @@
 }
 } // namespace
 
-TEST_CASE("second sends of all entries together stay within the bound") {
-  // Four entries with a fourth of the requests each; every request fails once.
+TEST_CASE("retries of all entries together stay within the limit") {
+  // Each of four entries gets a quarter of the requests; every request fails
+  // once.
   constexpr size_t Entries = 4;
   constexpr double Ratio = 0.2;
   constexpr double Slack = 56;
@@ -53,26 +55,26 @@
   }
 }
 
-TEST_CASE("streams are cut at event boundaries however bytes arrive") {
+TEST_CASE("streams are split at event boundaries for any size of parts") {
   const std::string Text = "id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 10\nda";
   for (size_t Size = 1; Size <= Text.size(); ++Size) {
     EventSplitter S;
-    std::string Whole;
+    std::string Complete;
     for (size_t At = 0; At < Text.size(); At += Size)
-      Whole += S.feed(std::string_view(Text).substr(At, Size));
-    CHECK(Whole == "id: 1\ndata: a\n\nid: 2\ndata: b\n\n");
+      Complete += S.feed(std::string_view(Text).substr(At, Size));
+    CHECK(Complete == "id: 1\ndata: a\n\nid: 2\ndata: b\n\n");
     CHECK(S.lastId() == "2");
     CHECK(S.takePartial() == "id: 10\nda");
   }
 }
 
-TEST_CASE("an engine is chosen by when its first token is expected") {
+TEST_CASE("the engine with the earliest expected first token ranks first") {
   const UpstreamRecord A = upstream("a", "here");
   const UpstreamRecord B = upstream("b", "here");
   const UpstreamRecord Far = upstream("far", "there");
   const std::vector<const UpstreamRecord *> All = {&A, &B, &Far};
-  const EngineWant Want{"m", "x", 0, 400};
-  EngineBoard Board(EngineBoard::Options().setDataCentre("here"));
+  const EngineRequirements Required{"m", "x", 0, 400};
+  EngineRanker Ranker(EngineRanker::Options().setDataCentre("here"));
   const auto Load = [](int64_t BacklogMs, bool Holds, bool Serving = true) {
     EngineLoad L;
     L.Serving = Serving;
@@ -87,61 +89,68 @@
     const char *First;
   };
   const Row Rows[] = {
-      {"the holder", Load(0, false), Load(0, true), Load(0, false), "b"},
-      {"the idle holder", Load(200, true), Load(0, true), Load(0, false), "b"},
-      {"the near holder", Load(0, true), Load(900, false), Load(0, true), "a"},
-      {"a far holder before a long wait", Load(900, true), Load(900, false),
-       Load(0, true), "far"},
-      {"none that does not serve", Load(0, true, false), Load(50, true),
+      {"engine that holds the adapter", Load(0, false), Load(0, true),
+       Load(0, false), "b"},
+      {"less loaded of two holders", Load(200, true), Load(0, true),
+       Load(0, false), "b"},
+      {"holder in the same data centre", Load(0, true), Load(900, false),
+       Load(0, true), "a"},
+      {"remote holder instead of a long wait", Load(900, true),
+       Load(900, false), Load(0, true), "far"},
+      {"no engine that is not serving", Load(0, true, false), Load(50, true),
        Load(300, true), "b"},
   };
   for (const Row &R : Rows) {
     CAPTURE(R.Name);
-    Board.onLoad(at(0), "a", R.OfA);
-    Board.onLoad(at(0), "b", R.OfB);
-    Board.onLoad(at(0), "far", R.OfFar);
-    const auto Ranked = Board.rank(at(0), Want, All);
+    Ranker.onLoad(at(0), "a", R.OfA);
+    Ranker.onLoad(at(0), "b", R.OfB);
+    Ranker.onLoad(at(0), "far", R.OfFar);
+    const auto Ranked = Ranker.rank(at(0), Required, All);
     REQUIRE_FALSE(Ranked.empty());
     CHECK(Ranked.front().Upstream->Id == R.First);
   }
 }
 
-TEST_CASE("a cold adapter returns to its home, a hot one gets more homes") {
-  EngineBoard Board(EngineBoard::Options().setDataCentre("here"));
+TEST_CASE("a rarely used adapter keeps one preferred engine, a heavily used "
+          "one gets more") {
+  EngineRanker Ranker(EngineRanker::Options().setDataCentre("here"));
   std::vector<UpstreamRecord> Records;
   for (int I = 0; I < 10; ++I)
     Records.push_back(upstream("e" + std::to_string(I), "here"));
   std::vector<const UpstreamRecord *> All;
   for (const UpstreamRecord &U : Records)
     All.push_back(&U);
-  const EngineWant Want{"m", "x", 0, 600};
-  const std::string Home = Board.rank(at(0), Want, All).front().Upstream->Id;
-  CHECK(Board.homes(at(0), Want) == 1);
-  Board.onDemand(at(0), Want);
-  CHECK(Board.rank(at(1), Want, All).front().Upstream->Id == Home);
+  const EngineRequirements Required{"m", "x", 0, 600};
+  const std::string Preferred =
+      Ranker.rank(at(0), Required, All).front().Upstream->Id;
+  CHECK(Ranker.preferredEngines(at(0), Required) == 1);
+  Ranker.onDemand(at(0), Required);
+  CHECK(Ranker.rank(at(1), Required, All).front().Upstream->Id == Preferred);
   for (int I = 0; I < 300; ++I)
-    Board.onDemand(at(I * 20), Want);
-  CHECK(Board.homes(at(6000), Want) >= 4);
-  // Demand that has gone leaves one home again.
-  CHECK(Board.homes(at(60000), Want) == 1);
+    Ranker.onDemand(at(I * 20), Required);
+  CHECK(Ranker.preferredEngines(at(6000), Required) >= 4);
+  // Once demand has ceased, one preferred engine is left.
+  CHECK(Ranker.preferredEngines(at(60000), Required) == 1);
 }
 
-TEST_CASE("a sudden rise in demand brings homes within a second") {
-  EngineBoard Board(EngineBoard::Options().setDataCentre("here"));
-  Board.setEntries(12);
-  const EngineWant Hot{"m", "hot", 0, 600};
-  const EngineWant Cold{"m", "cold", 0, 600};
-  // Ten a second at each of twelve entries are the time of four engines.
+TEST_CASE("a sudden rise in demand adds preferred engines within a second") {
+  EngineRanker Ranker(EngineRanker::Options().setDataCentre("here"));
+  Ranker.setEntries(12);
+  const EngineRequirements Hot{"m", "hot", 0, 600};
+  const EngineRequirements Cold{"m", "cold", 0, 600};
+  // Ten requests a second at each of twelve entries need four engines.
   for (int I = 0; I < 10; ++I)
-    Board.onDemand(at(I * 100), Hot);
-  CHECK(Board.homes(at(1000), Hot) >= 4);
-  // Two by chance are no rise, however many entries there are.
+    Ranker.onDemand(at(I * 100), Hot);
+  CHECK(Ranker.preferredEngines(at(1000), Hot) >= 4);
+  // Two arrivals may be random fluctuation and do not count as a rise, however
+  // many entries there are.
   for (int I = 0; I < 2; ++I)
-    Board.onDemand(at(I * 100), Cold);
-  CHECK(Board.homes(at(200), Cold) <= 2);
+    Ranker.onDemand(at(I * 100), Cold);
+  CHECK(Ranker.preferredEngines(at(200), Cold) <= 2);
 }
 
-TEST_CASE("plain calls go to the least loaded, within this entry's share") {
+TEST_CASE(
+    "plain calls go to the least loaded upstream within the entry's share") {
   const UpstreamRecord A = upstream("a", "here");
   const UpstreamRecord B = upstream("b", "here");
   const std::vector<const UpstreamRecord *> Both = {&A, &B};
@@ -154,7 +163,7 @@
     ++PerUpstream[U->Id];
     REQUIRE(++Sent < 100);
   }
-  // 6 places, two and a half calls each, shared by three entries.
+  // Two upstreams with 6 slots and 2.5 calls per slot, shared by three entries.
   CHECK(Sent == 10);
   CHECK(PerUpstream["a"] == PerUpstream["b"]);
   Balancer.onEnded(at(1), "b", false);
--- a/forward/upstream_health.cc
+++ b/forward/upstream_health.cc
@@ -1,5 +1,6 @@
-// An exponentially weighted share of failures that decays with time, so that an
-// upstream which gets no calls because of it is tried again within seconds.
+// The share of failures is an exponentially weighted mean that also decays with
+// time, so that an upstream which gets no calls because of past failures is
+// tried again within seconds. Every operation takes constant time.
 #include "forward/upstream_health.h"
 
 #include <algorithm>
@@ -9,29 +10,31 @@
 
 namespace {
 // Time constant of the decay.
-constexpr double FailureSeconds = 3.0;
-// Weight of one outcome.
+constexpr double FailureDecaySeconds = 3.0;
+// Weight of the newest outcome in the mean.
 constexpr double OutcomeWeight = 0.2;
-constexpr unsigned MaxPauseDoublings = 3;
+constexpr unsigned MaxBackoffDoublings = 3;
 } // namespace
 
-double UpstreamHealth::failureShare(Time N) const {
-  return Failures * std::exp(-seconds(N - FailuresAt) / FailureSeconds);
+double UpstreamHealth::failureShare(Time Now) const {
+  return Failures *
+         std::exp(-seconds(Now - FailuresUpdated) / FailureDecaySeconds);
 }
 
-void UpstreamHealth::onOutcome(Time N, bool Failed) {
+void UpstreamHealth::onOutcome(Time Now, bool Failed) {
   Failures =
-      failureShare(N) * (1 - OutcomeWeight) + (Failed ? OutcomeWeight : 0);
-  FailuresAt = N;
+      failureShare(Now) * (1 - OutcomeWeight) + (Failed ? OutcomeWeight : 0);
+  FailuresUpdated = Now;
   if (Failed)
     return;
-  Pauses = 0;
-  PausedUntil = Time{};
+  ConsecutiveBackoffs = 0;
+  BackoffUntil = Time{};
 }
 
-void UpstreamHealth::onUnreachable(Time N, Duration Pause) {
-  PausedUntil = N + Pause * (1 << std::min(Pauses, MaxPauseDoublings));
-  ++Pauses;
+void UpstreamHealth::onUnreachable(Time Now, Duration Backoff) {
+  BackoffUntil =
+      Now + Backoff * (1 << std::min(ConsecutiveBackoffs, MaxBackoffDoublings));
+  ++ConsecutiveBackoffs;
 }
 
 } // namespace goldcrestlink::forward
--- a/forward/upstream_health.h
+++ b/forward/upstream_health.h
@@ -1,10 +1,10 @@
-// How an entry's own calls to one upstream have fared lately: the share that
-// failed, and whether it took connections.
+// Health of one upstream as seen by this entry's own calls: the share of recent
+// calls that failed, and whether the upstream accepts connections.
 //
 //   UpstreamHealth H;
-//   H.onOutcome(N, Failed);
-//   H.onUnreachable(N, Pause);
-//   if (H.usable(N)) cost += H.failureShare(N) * ...;
+//   H.onOutcome(Now, Failed);
+//   H.onUnreachable(Now, Backoff);
+//   if (H.usable(Now)) Cost += H.failureShare(Now) * FailureCost;
 #ifndef GOLDCRESTLINK_FORWARD_UPSTREAM_HEALTH_H
 #define GOLDCRESTLINK_FORWARD_UPSTREAM_HEALTH_H
 
@@ -17,24 +17,27 @@
 public:
   // Commands.
 
-  void onOutcome(Time N, bool Failed);
-  /// It refused a connection or did not take one. It is left alone for
-  /// \p Pause, and twice as long each time in a row, up to eight times.
-  void onUnreachable(Time N, Duration Pause);
-  /// Another incarnation answers at its address; it is never used again.
+  void onOutcome(Time Now, bool Failed);
+  /// The upstream refused a connection or did not accept it in time. It is not
+  /// used for \p Backoff; each consecutive failure doubles the time, up to
+  /// eight times \p Backoff.
+  void onUnreachable(Time Now, Duration Backoff);
+  /// Another incarnation answers at the upstream's address; this one is never
+  /// used again.
   void onReplaced() { Replaced = true; }
 
   // Queries.
 
-  bool usable(Time N) const { return !Replaced && N >= PausedUntil; }
-  /// From 0 to 1; fades when there are no calls.
-  double failureShare(Time N) const;
+  bool usable(Time Now) const { return !Replaced && Now >= BackoffUntil; }
+  /// Weighted share of recent calls that failed, from 0 to 1. Decays with time
+  /// when there are no calls.
+  double failureShare(Time Now) const;
 
 private:
   double Failures = 0;
-  Time FailuresAt{};
-  Time PausedUntil{};
-  unsigned Pauses = 0;
+  Time FailuresUpdated{};
+  Time BackoffUntil{};
+  unsigned ConsecutiveBackoffs = 0;
   bool Replaced = false;
 };
 
