--- a/admission/engine_report.h
+++ b/admission/engine_report.h
@@ -1,5 +1,9 @@
-// What an engine says of itself to the side on its own instance, and the orders
-// that the side gives it.
+// The state that an engine reports to the side on its instance, and the load
+// and unload orders that the side sends to it.
+//
+//   EngineReport Report;   // decoded from the engine's answer
+//   EngineOrder Order{.Number = 1, .Kind = OrderKind::Load, .Model = "m"};
+//   Order.ExpectedCount = Report.OrderCount;
 #ifndef GOLDCRESTLINK_ADMISSION_ENGINE_REPORT_H
 #define GOLDCRESTLINK_ADMISSION_ENGINE_REPORT_H
 
@@ -11,7 +15,7 @@
 
 namespace goldcrestlink {
 
-/// An adapter and its version.
+/// An adapter that an engine holds or loads, in one version.
 struct HeldAdapter {
   std::string Name;
   uint64_t Version = 0;
@@ -19,60 +23,66 @@
   bool operator==(const HeldAdapter &) const = default;
 };
 
-/// A base model that an engine holds, with its adapters.
+/// A base model in an engine's memory, with the adapters loaded for it.
 struct HeldModel {
   std::string Name;
   uint64_t Version = 0;
   std::vector<HeldAdapter> Adapters;
 };
 
-/// An adapter on its way from the weight store.
+/// An adapter that the engine is loading from the weight store.
 struct IncomingAdapter {
   std::string Model;
   HeldAdapter Adapter;
 };
 
-/// The engine's state, fresh when asked from its own instance.
+/// An engine's state at the time of its answer. Requested from the engine's own
+/// instance, it is up to date.
 struct EngineReport {
   std::vector<HeldModel> Models;
   std::vector<IncomingAdapter> Incoming;
-  /// An order on a base model is being carried out.
+  /// True while the engine loads or unloads a base model.
   bool Busy = false;
-  /// Orders accepted since the start; the next order must expect it.
+  /// Number of orders accepted since the engine's start. The next order has to
+  /// give this number as its ExpectedCount.
   uint64_t OrderCount = 0;
-  /// Requests that have not started, and that have.
+  /// Requests that the engine has queued, and those that it runs.
   uint32_t Waiting = 0;
   uint32_t Running = 0;
-  /// Tokens of memory that cannot yield, and in all.
+  /// Memory in tokens: the part that cannot be freed at present, and the total.
   uint64_t MemoryUsed = 0;
   uint64_t MemoryTotal = 0;
-  /// Unix time of the engine's start in milliseconds; 0 if it did not say.
+  /// Unix time of the engine's start in milliseconds; 0 if not reported.
   uint64_t StartedMs = 0;
 };
 
 enum class OrderKind { Load, Unload };
 
-/// One order. An empty adapter means the base model itself.
+/// An order to load or unload an adapter, or the base model itself if Adapter
+/// is empty.
 struct EngineOrder {
   uint64_t Number = 0;
   OrderKind Kind = OrderKind::Load;
   std::string Model;
   std::string Adapter;
-  /// The engine refuses the order if its count differs when it is carried out.
+  /// The engine refuses the order if its own count of orders differs from this
+  /// one at the time of execution.
   uint64_t ExpectedCount = 0;
 };
 
-/// How an order ended, as far as its answer tells.
+/// The result of an order, as far as its answer shows.
 enum class OrderOutcome {
-  /// Under way.
+  /// Accepted; the engine is carrying it out.
   Accepted,
-  /// Already so; for an unload of an unused adapter: done.
+  /// The engine is in the ordered state: it already was, or it has unloaded an
+  /// unused adapter at once.
   Holds,
-  /// The count differed, or another order was in progress.
+  /// Refused because the count differed or another order was in progress.
   Conflict,
-  /// Not carried out, and never will be.
+  /// Refused for another reason; the order will not be carried out.
   Refused,
-  /// No answer: it may still be carried out while the count is unchanged.
+  /// No answer. The order may still be carried out as long as the engine's
+  /// count is unchanged.
   Unknown
 };
 
--- a/admission/load_window.h
+++ b/admission/load_window.h
@@ -1,11 +1,12 @@
-// How many adapters a side has on their way at once. The weight store's rate is
-// shared by the whole fleet, and beyond it all loads slow down together; then
-// one after the other arrive sooner on average than all at once. Each side
-// finds its share by how long its own loads take.
+// Congestion window that limits how many adapters one side loads at the same
+// time. All sides share the bandwidth of the weight store. When it is exceeded,
+// all loads slow down, and sequential loads finish sooner on average than
+// concurrent ones. Each side adapts its window to the duration of its own
+// loads.
 //
-//   LoadWindow W(LoadWindow::Options());
-//   W.onLoaded(Took);
-//   if (InTransit < W.size()) orderNext();
+//   LoadWindow Window(LoadWindow::Options());
+//   Window.onLoaded(Took);
+//   if (LoadsInProgress < Window.size()) startNextLoad();
 #ifndef GOLDCRESTLINK_ADMISSION_LOAD_WINDOW_H
 #define GOLDCRESTLINK_ADMISSION_LOAD_WINDOW_H
 
@@ -20,33 +21,34 @@
 public:
   class Options {
   public:
-    Duration idleTime() const { return IdleTime; }
-    uint32_t max() const { return Max; }
+    Duration idleLoadTime() const { return IdleLoadTime; }
+    uint32_t maxConcurrent() const { return MaxConcurrent; }
 
   private:
-    // A load while the store is not busy, by the deployments' sheets.
-    Duration IdleTime = std::chrono::milliseconds(260);
-    // The engine accepts four adapters in transit at the same time.
-    uint32_t Max = 4;
+    // Duration of a load from an idle store, from the deployments' data sheets.
+    Duration IdleLoadTime = std::chrono::milliseconds(260);
+    // An engine accepts at most four concurrent adapter loads.
+    uint32_t MaxConcurrent = 4;
   };
 
-  explicit LoadWindow(Options O) : Opts(O), Mean(O.idleTime()) {}
+  explicit LoadWindow(Options O) : Opts(O), MeanLoadTime(O.idleLoadTime()) {}
 
   // Commands.
 
-  /// A load took this long from its order on.
+  /// A load has finished; \p Took is the time since its order was accepted.
   void onLoaded(Duration Took);
 
   // Queries.
 
-  /// Loads that may be in transit at once, at least one.
+  /// Number of loads that may be in progress at the same time, at least 1.
   uint32_t size() const;
-  /// Expected time of a load.
-  Duration loadTime() const { return Mean; }
+  /// Expected duration of a load.
+  Duration loadTime() const { return MeanLoadTime; }
 
 private:
   Options Opts;
-  Duration Mean;
+  // Exponentially weighted mean of the load durations.
+  Duration MeanLoadTime;
   double Window = 2;
 };
 
--- a/admission/prefill_model.cc
+++ b/admission/prefill_model.cc
@@ -1,8 +1,9 @@
-// The delay to a first token is taken as a constant plus tokens by rate; the
-// rate is the slope of an exponentially weighted linear regression, so that the
-// constant part (tens of milliseconds) does not pass for slow reading. It
-// begins with a prior that a few dozen answers outweigh. Pending tokens drain
-// at that rate, the most urgent first. All operations take constant time.
+// Models the delay to the first token as a constant plus tokens / rate. The
+// rate is the reciprocal of the slope of an exponentially weighted linear
+// regression, so that the constant part (tens of milliseconds) is not mistaken
+// for a low prefill rate. The regression starts from a prior, which a few dozen
+// samples outweigh. Pending tokens are processed at the estimated rate, the
+// most urgent rank first. All operations take constant time.
 #include "admission/prefill_model.h"
 
 #include <algorithm>
@@ -11,73 +12,77 @@
 namespace goldcrestlink {
 
 namespace {
-constexpr double InitialRate = 20;
-// Time constant over which utilisation is averaged.
+constexpr double InitialTokensPerMs = 20;
+// Time constant of the exponential average of the utilisation.
 constexpr double UtilisationSeconds = 2;
-constexpr double MinRate = 4;
-constexpr double MaxRate = 400;
-// Each answer outweighs the older ones by this much; about 100 count.
-constexpr double Forgetting = 0.99;
-// Weight and place (tokens) of the prior's two points.
+constexpr double MinTokensPerMs = 4;
+constexpr double MaxTokensPerMs = 400;
+// Factor by which each new sample reduces the weight of the older ones; the
+// effective sample size is about 100.
+constexpr double SampleDecay = 0.99;
+// The prior consists of two points of this weight, one at zero tokens and one
+// at PriorTokens.
 constexpr double PriorWeight = 5;
 constexpr double PriorTokens = 8000;
-// An engine reads a long prompt in pieces of up to this many tokens, by the
-// deployments' sheets; more urgent prompts wait for the piece in hand.
-constexpr double PieceTokens = 4096;
+// An engine processes a long prompt in chunks of up to this many tokens,
+// according to the deployments' data sheets; more urgent prompts wait for the
+// chunk in progress.
+constexpr double ChunkTokens = 4096;
 } // namespace
 
-PrefillModel::PrefillModel() : Rate(InitialRate) {
+PrefillModel::PrefillModel() : Rate(InitialTokensPerMs) {
   SumW = 2 * PriorWeight;
   SumX = PriorWeight * PriorTokens;
   SumXX = PriorWeight * PriorTokens * PriorTokens;
-  SumY = PriorWeight * PriorTokens / InitialRate;
-  SumXY = PriorWeight * PriorTokens * PriorTokens / InitialRate;
+  SumY = PriorWeight * PriorTokens / InitialTokensPerMs;
+  SumXY = PriorWeight * PriorTokens * PriorTokens / InitialTokensPerMs;
 }
 
-std::array<double, BacklogRanks> PrefillModel::pendingAt(Time N) const {
-  std::array<double, BacklogRanks> Left = Pending;
-  double Read = std::max(0.0, seconds(N - UpdatedAt) * 1e3 * Rate);
-  for (double &Tokens : Left) {
-    const double Done = std::min(Tokens, Read);
+std::array<double, BacklogRanks> PrefillModel::pendingAt(Time Now) const {
+  std::array<double, BacklogRanks> Remaining = Pending;
+  double Capacity = std::max(0.0, seconds(Now - UpdatedAt) * 1e3 * Rate);
+  for (double &Tokens : Remaining) {
+    const double Done = std::min(Tokens, Capacity);
     Tokens -= Done;
-    Read -= Done;
+    Capacity -= Done;
   }
-  return Left;
+  return Remaining;
 }
 
-void PrefillModel::add(Time N, uint32_t Rank, uint64_t Tokens) {
-  Pending = pendingAt(N);
-  UpdatedAt = N;
+void PrefillModel::add(Time Now, uint32_t Rank, uint64_t Tokens) {
+  Pending = pendingAt(Now);
+  UpdatedAt = Now;
   Pending[backlogRow(Rank)] += static_cast<double>(Tokens);
-  GivenRate = utilisation(N) * Rate +
-              static_cast<double>(Tokens) / (UtilisationSeconds * 1e3);
-  GivenAt = N;
+  SentRate = utilisation(Now) * Rate +
+             static_cast<double>(Tokens) / (UtilisationSeconds * 1e3);
+  SentRateAt = Now;
 }
 
-double PrefillModel::utilisation(Time N) const {
-  return GivenRate * std::exp(-seconds(N - GivenAt) / UtilisationSeconds) /
+double PrefillModel::utilisation(Time Now) const {
+  return SentRate * std::exp(-seconds(Now - SentRateAt) / UtilisationSeconds) /
          Rate;
 }
 
-void PrefillModel::clear(Time N) {
+void PrefillModel::clear(Time Now) {
   Pending = {};
-  UpdatedAt = N;
+  UpdatedAt = Now;
 }
 
-Duration PrefillModel::backlog(Time N, uint32_t Rank) const {
-  return backlogs(N)[backlogRow(Rank)];
+Duration PrefillModel::backlog(Time Now, uint32_t Rank) const {
+  return backlogs(Now)[backlogRow(Rank)];
 }
 
-Backlogs PrefillModel::backlogs(Time N) const {
-  const std::array<double, BacklogRanks> Left = pendingAt(N);
-  double All = 0;
-  for (const double Tokens : Left)
-    All += Tokens;
+Backlogs PrefillModel::backlogs(Time Now) const {
+  const std::array<double, BacklogRanks> Remaining = pendingAt(Now);
+  double Total = 0;
+  for (const double Tokens : Remaining)
+    Total += Tokens;
   Backlogs Out;
-  double UpTo = 0;
+  double SameOrMoreUrgent = 0;
   for (size_t Row = 0; Row < BacklogRanks; ++Row) {
-    UpTo += Left[Row];
-    const double Tokens = UpTo + std::min(All - UpTo, PieceTokens);
+    SameOrMoreUrgent += Remaining[Row];
+    const double Tokens =
+        SameOrMoreUrgent + std::min(Total - SameOrMoreUrgent, ChunkTokens);
     Out[Row] = Duration(static_cast<int64_t>(Tokens / Rate * 1e3));
   }
   return Out;
@@ -87,15 +92,17 @@
   const auto X = static_cast<double>(Tokens);
   const double Y = seconds(Delay) * 1e3;
   for (double *Sum : {&SumW, &SumX, &SumY, &SumXX, &SumXY})
-    *Sum *= Forgetting;
+    *Sum *= SampleDecay;
   SumW += 1;
   SumX += X;
   SumY += Y;
   SumXX += X * X;
   SumXY += X * Y;
-  const double Spread = SumXX - SumX * SumX / SumW;
-  const double Slope = (SumXY - SumX * SumY / SumW) / std::max(Spread, 1.0);
-  Rate = Slope > 0 ? std::clamp(1 / Slope, MinRate, MaxRate) : MaxRate;
+  const double SquaredDeviation = SumXX - SumX * SumX / SumW;
+  const double Slope =
+      (SumXY - SumX * SumY / SumW) / std::max(SquaredDeviation, 1.0);
+  Rate = Slope > 0 ? std::clamp(1 / Slope, MinTokensPerMs, MaxTokensPerMs)
+                   : MaxTokensPerMs;
 }
 
 } // namespace goldcrestlink
--- a/admission/prefill_model.h
+++ b/admission/prefill_model.h
@@ -1,10 +1,11 @@
-// How fast an engine reads prompts, learned from its answers, and how much of
-// what it was given it still has to read, by rank.
+// Estimates an engine's prefill rate (prompt tokens processed per unit of time)
+// from the delay of first tokens, and the prefill work that the engine still
+// has pending, by rank.
 //
-//   PrefillModel P;
-//   P.add(N, Rank, Tokens);                 // a prompt was sent
-//   P.backlog(N, Rank);                     // wait for a new one of that rank
-//   P.learn(Tokens, FirstTokenDelay);       // of a prompt that had no wait
+//   PrefillModel Prefill;
+//   Prefill.add(Now, Rank, Tokens);           // a prompt was sent
+//   Duration Wait = Prefill.backlog(Now, Rank);
+//   Prefill.learn(Tokens, FirstTokenDelay);   // of a prompt that did not wait
 #ifndef GOLDCRESTLINK_ADMISSION_PREFILL_MODEL_H
 #define GOLDCRESTLINK_ADMISSION_PREFILL_MODEL_H
 
@@ -16,13 +17,14 @@
 
 namespace goldcrestlink {
 
-/// Ranks that are told apart; all less urgent ones share the last.
+/// Number of ranks with a backlog of their own; all less urgent ranks share the
+/// last one.
 constexpr size_t BacklogRanks = 3;
 
-/// Waits for a new prompt of each rank.
+/// Expected wait of a new prompt, per rank.
 using Backlogs = std::array<Duration, BacklogRanks>;
 
-/// The row of \p Rank in Backlogs. Thread-safe.
+/// The index of \p Rank in Backlogs. Thread-safe.
 constexpr size_t backlogRow(uint32_t Rank) {
   return Rank < BacklogRanks ? Rank : BacklogRanks - 1;
 }
@@ -34,35 +36,41 @@
 
   // Commands.
 
-  /// A prompt has been given to the engine.
-  void add(Time N, uint32_t Rank, uint64_t Tokens);
-  /// The engine has nothing left to read.
-  void clear(Time N);
-  /// A prompt that found no backlog had its first token after \p Delay.
+  /// A prompt of \p Tokens tokens was sent to the engine.
+  void add(Time Now, uint32_t Rank, uint64_t Tokens);
+  /// The engine has no prefill work left.
+  void clear(Time Now);
+  /// A prompt that was sent while there was no backlog had its first token
+  /// after \p Delay.
   void learn(uint64_t Tokens, Duration Delay);
 
   // Queries.
 
-  /// Time until the engine would begin with a new prompt of \p Rank: it reads
-  /// more urgent ones first, and ends the piece it is reading.
-  Duration backlog(Time N, uint32_t Rank) const;
-  Backlogs backlogs(Time N) const;
-  /// Prompt tokens read per millisecond.
+  /// Time until the engine would start on a new prompt of \p Rank. The engine
+  /// processes more urgent prompts, and prompts of the same rank that it
+  /// already has, first, and finishes the chunk in progress.
+  Duration backlog(Time Now, uint32_t Rank) const;
+  Backlogs backlogs(Time Now) const;
+  /// Prefill rate in tokens per millisecond.
   double rate() const { return Rate; }
-  /// Share of the engine's time that prompts given to it lately take; above 1
-  /// if they come faster than it reads. What remains goes to generation.
-  double utilisation(Time N) const;
+  /// Share of the engine's time that the prompts sent recently take. Above 1 if
+  /// they arrive faster than the engine processes them. The rest of the time is
+  /// left for generation.
+  double utilisation(Time Now) const;
 
 private:
-  std::array<double, BacklogRanks> pendingAt(Time N) const;
+  std::array<double, BacklogRanks> pendingAt(Time Now) const;
 
+  // Pending prompt tokens per rank, as of UpdatedAt.
   std::array<double, BacklogRanks> Pending{};
   Time UpdatedAt{};
-  // Tokens per millisecond given lately, decaying, and as of when.
-  double GivenRate = 0;
-  Time GivenAt{};
+  // Exponentially decayed rate of the tokens sent, in tokens per millisecond,
+  // as of SentRateAt.
+  double SentRate = 0;
+  Time SentRateAt{};
+  // Estimated prefill rate in tokens per millisecond.
   double Rate;
-  // Weighted sums of the regression of delay on tokens.
+  // Weighted sums of the linear regression of delay (ms) on tokens.
   double SumW = 0, SumX = 0, SumY = 0, SumXX = 0, SumXY = 0;
 };
 
--- a/admission/side_admission.cc
+++ b/admission/side_admission.cc
@@ -1,7 +1,7 @@
-// Requests whose adapter is held and for which the engine has room go at once;
-// the others wait in one queue, ordered by rank and arrival, while the adapters
-// they need are loaded (side_orders.cc). All scans are over at most
-// Options::maxWaiting() requests or the engine's adapter slots.
+// Requests are granted at once if the engine holds their adapter and has
+// capacity for them. The others wait in one queue, ordered by rank and arrival,
+// while the adapters they need are loaded (side_orders.cc). All scans are over
+// at most Options::maxWaiting() requests or the engine's adapter slots.
 #include "admission/side_admission.h"
 
 #include <algorithm>
@@ -12,14 +12,15 @@
 
 namespace {
 
-// After its deadline, a grant that has not ended is given up.
-constexpr Duration EndGrace = std::chrono::seconds(1);
-// A prefetch that has not begun by then is forgotten; entries ask again.
-constexpr Duration PrefetchTime = std::chrono::seconds(1);
+// A grant that has not ended this long after its request's deadline expires.
+constexpr Duration GrantGracePeriod = std::chrono::seconds(1);
+// A prefetch request is dropped after this time if its adapter is not ready;
+// entries repeat their prefetch requests.
+constexpr Duration PrefetchExpiry = std::chrono::seconds(1);
 
-// Of its most output tokens, a request uses about half.
-uint64_t expectedTokens(const AdmissionAsk &A) {
-  return A.PromptTokens + A.OutputTokens / 2;
+// On average, a request uses about half of its maximum number of output tokens.
+uint64_t expectedTokens(const AdmissionAsk &Request) {
+  return Request.PromptTokens + Request.OutputTokens / 2;
 }
 
 } // namespace
@@ -35,23 +36,24 @@
   return static_cast<uint32_t>(hash64(adapterName(Model, Adapter)));
 }
 
-void SideAdmission::onConfig(const Time &N, const EngineSpec &Engine) {
+void SideAdmission::onConfig(const Time &Now, const EngineSpec &Engine) {
   Spec = Engine;
   HasSpec = true;
-  placeOrder(N);
+  placeOrder(Now);
 }
 
-void SideAdmission::onRelease(const Time &N, const WeightRelease &R) {
-  const std::string Name = adapterName(R.Model, R.Adapter);
-  Release &Known = Released[Name];
-  if (R.Version <= Known.Version)
+void SideAdmission::onRelease(const Time &Now, const WeightRelease &Release) {
+  const std::string Name = adapterName(Release.Model, Release.Adapter);
+  AnnouncedVersion &Known = Announced[Name];
+  if (Release.Version <= Known.Version)
     return;
-  Known.Version = R.Version;
+  Known.Version = Release.Version;
   const auto Spread = static_cast<uint64_t>(Opts.releaseSpread().count());
   Known.RequiredFrom =
-      N + Duration(static_cast<int64_t>(
-              hash64(Name, mixHash(Opts.spreadSeed(), R.Version)) % Spread));
-  placeOrder(N);
+      Now +
+      Duration(static_cast<int64_t>(
+          hash64(Name, mixHash(Opts.spreadSeed(), Release.Version)) % Spread));
+  placeOrder(Now);
 }
 
 const HeldModel *SideAdmission::baseModel(std::string_view Model) const {
@@ -61,157 +63,163 @@
   return nullptr;
 }
 
-uint64_t SideAdmission::requiredVersion(const Time &N,
+uint64_t SideAdmission::requiredVersion(const Time &Now,
                                         const std::string &Name) const {
-  const auto It = Released.find(Name);
-  return It == Released.end() || N < It->second.RequiredFrom
+  const auto It = Announced.find(Name);
+  return It == Announced.end() || Now < It->second.RequiredFrom
              ? 0
              : It->second.Version;
 }
 
 const SideAdmission::AdapterState *
-SideAdmission::held(const std::string &Name) const {
+SideAdmission::heldAdapter(const std::string &Name) const {
   const auto It = Adapters.find(Name);
   return It == Adapters.end() || It->second.Incoming ? nullptr : &It->second;
 }
 
-bool SideAdmission::isOutdated(const Time &N, const std::string &Name) const {
-  const AdapterState *S = held(Name);
-  return S && S->Version < requiredVersion(N, Name);
+bool SideAdmission::isOutdated(const Time &Now, const std::string &Name) const {
+  const AdapterState *State = heldAdapter(Name);
+  return State && State->Version < requiredVersion(Now, Name);
 }
 
-bool SideAdmission::ready(const Time &N, const AdmissionAsk &A) const {
-  const HeldModel *Base = baseModel(A.Model);
+bool SideAdmission::ready(const Time &Now, const AdmissionAsk &Request) const {
+  const HeldModel *Base = baseModel(Request.Model);
   if (!Reachable || !Base)
     return false;
-  const std::string Name = adapterName(A.Model, A.Adapter);
-  if (A.Adapter.empty())
-    return Base->Version >= requiredVersion(N, Name);
-  return held(Name) && !isOutdated(N, Name);
+  const std::string Name = adapterName(Request.Model, Request.Adapter);
+  if (Request.Adapter.empty())
+    return Base->Version >= requiredVersion(Now, Name);
+  return heldAdapter(Name) && !isOutdated(Now, Name);
 }
 
-bool SideAdmission::hasRoom(const AdmissionAsk &A) const {
+bool SideAdmission::hasCapacity(const AdmissionAsk &Request) const {
   if (Spec.BatchSlots > 0 && Grants.size() >= Spec.BatchSlots)
     return false;
-  const double Room =
+  const double MaxTokens =
       static_cast<double>(Spec.MemoryTokens) * Opts.memoryShare();
   return Grants.empty() || Spec.MemoryTokens == 0 ||
-         static_cast<double>(TokensGranted + expectedTokens(A)) <= Room;
+         static_cast<double>(TokensGranted + expectedTokens(Request)) <=
+             MaxTokens;
 }
 
-Duration SideAdmission::expectedWait(const Time &N,
-                                     const AdmissionAsk &A) const {
-  Duration Wait = Prefill.backlog(N, A.Rank);
-  if (!baseModel(A.Model))
+Duration SideAdmission::expectedWait(const Time &Now,
+                                     const AdmissionAsk &Request) const {
+  Duration Wait = Prefill.backlog(Now, Request.Rank);
+  if (!baseModel(Request.Model))
     Wait += Spec.Models.empty() ? std::chrono::seconds(1)
                                 : Spec.Models.front().LoadTime;
-  if (ready(N, A))
+  if (ready(Now, Request))
     return Wait;
-  const auto Ahead =
-      static_cast<double>(loadsAhead(N, adapterName(A.Model, A.Adapter)));
+  const auto Ahead = static_cast<double>(
+      loadsAhead(Now, adapterName(Request.Model, Request.Adapter)));
   return Wait + Duration(static_cast<int64_t>(
                     static_cast<double>(Loads.loadTime().count()) *
                     (1 + Ahead / Loads.size())));
 }
 
-// Adapters that will be loaded before this one.
-size_t SideAdmission::loadsAhead(const Time &N, const std::string &Name) const {
+// Number of adapters that will be loaded before this one.
+size_t SideAdmission::loadsAhead(const Time &Now,
+                                 const std::string &Name) const {
   if (const auto It = Adapters.find(Name);
       It != Adapters.end() && It->second.Incoming)
     return 0;
   std::set<std::string> Ahead;
-  for (const Waiting &W : Queue)
-    if (const std::string Other = adapterName(W.Ask.Model, W.Ask.Adapter);
-        Other != Name && !held(Other) && N < W.LoadBy)
+  for (const WaitingRequest &W : Queue)
+    if (const std::string Other =
+            adapterName(W.Request.Model, W.Request.Adapter);
+        Other != Name && !heldAdapter(Other) && Now < W.LoadBy)
       Ahead.insert(Other);
   return Ahead.size();
 }
 
-void SideAdmission::onAsk(const Time &N, AdmissionAsk A) {
-  if (A.Version > 0)
-    onRelease(N, {A.Model, A.Adapter, A.Version});
-  if (A.Prefetch) {
-    if (!ready(N, A) && Prefetches.size() < Opts.maxWaiting())
-      Prefetches.push_back(
-          {std::move(A), N, N + PrefetchTime, N + PrefetchTime});
-    return placeOrder(N);
+void SideAdmission::onAsk(const Time &Now, AdmissionAsk Request) {
+  if (Request.Version > 0)
+    onRelease(Now, {Request.Model, Request.Adapter, Request.Version});
+  if (Request.Prefetch) {
+    if (!ready(Now, Request) && Prefetches.size() < Opts.maxWaiting())
+      Prefetches.push_back({std::move(Request), Now, Now + PrefetchExpiry,
+                            Now + PrefetchExpiry});
+    return placeOrder(Now);
   }
   if (!Reachable)
-    return refuse(A, std::chrono::milliseconds(300), true,
+    return refuse(Request, std::chrono::milliseconds(300), true,
                   "engine_unreachable");
-  const bool Ready = ready(N, A);
-  if (Ready && hasRoom(A) && Queue.empty())
-    return grant(N, A);
-  if (const std::string Name = adapterName(A.Model, A.Adapter);
-      isOutdated(N, Name) && held(Name)->Pins > 0)
-    return refuse(A, Opts.replaceTime(), true, "replacing");
-  const Duration Wait = expectedWait(N, A);
-  if (Wait > A.Patience || Queue.size() >= Opts.maxWaiting())
-    return refuse(A, Wait, Ready || !baseModel(A.Model),
+  const bool Ready = ready(Now, Request);
+  if (Ready && hasCapacity(Request) && Queue.empty())
+    return grant(Now, Request);
+  if (const std::string Name = adapterName(Request.Model, Request.Adapter);
+      isOutdated(Now, Name) && heldAdapter(Name)->Pins > 0)
+    return refuse(Request, Opts.replaceTime(), true, "replacing");
+  const Duration Wait = expectedWait(Now, Request);
+  if (Wait > Request.Patience || Queue.size() >= Opts.maxWaiting())
+    return refuse(Request, Wait, Ready || !baseModel(Request.Model),
                   Ready ? "engine_full" : "load_too_late");
-  AdmissionReply R;
-  R.What = Verdict::Wait;
-  R.Expected = Wait;
-  R.Reason = Ready ? "engine_full" : "loading";
-  Port.reply(A, R);
-  const auto Where =
-      std::find_if(Queue.begin(), Queue.end(),
-                   [&](const Waiting &W) { return W.Ask.Rank > A.Rank; });
-  // The patience is the entry's estimate of what still helps its caller; the
-  // wait may run over it by as much again before it is given up.
-  const Time Until = N + std::min(A.Patience * 2, A.TimeLeft);
-  const Time LoadBy = N + A.ObjectiveLeft - Loads.loadTime();
-  Queue.insert(Where, {std::move(A), N, Until, LoadBy});
-  serveQueue(N);
-  placeOrder(N);
+  AdmissionReply Reply;
+  Reply.What = Verdict::Wait;
+  Reply.Expected = Wait;
+  Reply.Reason = Ready ? "engine_full" : "loading";
+  Port.reply(Request, Reply);
+  const auto Position =
+      std::find_if(Queue.begin(), Queue.end(), [&](const WaitingRequest &W) {
+        return W.Request.Rank > Request.Rank;
+      });
+  // The maximum wait is the entry's estimate of how long a wait still helps its
+  // caller. The actual wait may reach twice that time before the request is
+  // refused.
+  const Time Until = Now + std::min(Request.Patience * 2, Request.TimeLeft);
+  const Time LoadBy = Now + Request.ObjectiveLeft - Loads.loadTime();
+  Queue.insert(Position, {std::move(Request), Now, Until, LoadBy});
+  serveQueue(Now);
+  placeOrder(Now);
 }
 
-void SideAdmission::grant(const Time &N, const AdmissionAsk &A) {
-  AdmissionReply R;
-  R.What = Verdict::Go;
-  R.Expected = Prefill.backlog(N, A.Rank);
-  R.Reason = "ready";
+void SideAdmission::grant(const Time &Now, const AdmissionAsk &Request) {
+  AdmissionReply Reply;
+  Reply.What = Verdict::Go;
+  Reply.Expected = Prefill.backlog(Now, Request.Rank);
+  Reply.Reason = "ready";
   Grant G;
-  if (!A.Adapter.empty()) {
-    G.Adapter = adapterName(A.Model, A.Adapter);
-    AdapterState &S = Adapters[G.Adapter];
-    ++S.Pins;
-    S.LastUsed = N;
-    R.Version = S.Version;
+  if (!Request.Adapter.empty()) {
+    G.Adapter = adapterName(Request.Model, Request.Adapter);
+    AdapterState &State = Adapters[G.Adapter];
+    ++State.Pins;
+    State.LastUsed = Now;
+    Reply.Version = State.Version;
   }
-  G.Tokens = expectedTokens(A);
-  G.Prompt = A.PromptTokens;
-  G.Granted = N;
-  G.Expires = N + A.TimeLeft + EndGrace;
+  G.Tokens = expectedTokens(Request);
+  G.PromptTokens = Request.PromptTokens;
+  G.GrantedAt = Now;
+  G.ExpiresAt = Now + Request.TimeLeft + GrantGracePeriod;
   TokensGranted += G.Tokens;
-  G.FoundIdle = Prefill.backlog(N, BacklogRanks) == Duration(0);
-  Prefill.add(N, A.Rank, A.PromptTokens);
+  G.FoundIdle = Prefill.backlog(Now, BacklogRanks) == Duration(0);
+  Prefill.add(Now, Request.Rank, Request.PromptTokens);
 
-  Grants[{A.Peer, A.Id}] = std::move(G);
-  Port.reply(A, R);
+  Grants[{Request.Peer, Request.Id}] = std::move(G);
+  Port.reply(Request, Reply);
 }
 
-void SideAdmission::refuse(const AdmissionAsk &A, Duration Again,
+void SideAdmission::refuse(const AdmissionAsk &Request, Duration RetryAfter,
                            bool TryElsewhere, std::string_view Reason) {
-  AdmissionReply R;
-  R.TryElsewhere = TryElsewhere;
-  R.What = Verdict::Refuse;
-  R.Expected = Again;
-  R.Reason = Reason;
-  Port.reply(A, R);
+  AdmissionReply Reply;
+  Reply.TryElsewhere = TryElsewhere;
+  Reply.What = Verdict::Refuse;
+  Reply.Expected = RetryAfter;
+  Reply.Reason = Reason;
+  Port.reply(Request, Reply);
 }
 
-void SideAdmission::onEnd(const Time &N, const std::string &Peer, uint64_t Id,
+void SideAdmission::onEnd(const Time &Now, const std::string &Peer, uint64_t Id,
                           Duration FirstToken) {
   const auto It = Grants.find({Peer, Id});
   if (It == Grants.end()) {
-    Queue.remove_if(
-        [&](const Waiting &W) { return W.Ask.Id == Id && W.Ask.Peer == Peer; });
+    Queue.remove_if([&](const WaitingRequest &W) {
+      return W.Request.Id == Id && W.Request.Peer == Peer;
+    });
     return;
   }
   const Grant &G = It->second;
   if (FirstToken > Duration(0) && G.FoundIdle)
-    Prefill.learn(G.Prompt, FirstToken);
+    Prefill.learn(G.PromptTokens, FirstToken);
 
   if (!G.Adapter.empty()) {
     const auto State = Adapters.find(G.Adapter);
@@ -220,71 +228,74 @@
   }
   TokensGranted -= std::min(TokensGranted, G.Tokens);
   Grants.erase(It);
-  serveQueue(N);
-  placeOrder(N);
+  serveQueue(Now);
+  placeOrder(Now);
 }
 
-void SideAdmission::onEngineSilent(const Time &N) {
+void SideAdmission::onEngineSilent(const Time &Now) {
   if (Reachable)
     Port.log(LineClass::Kept, "engine state=unreachable waiting=" +
                                   std::to_string(Queue.size()));
   Reachable = false;
-  ReportedAt = N;
-  for (const Waiting &W : Queue)
-    refuse(W.Ask, std::chrono::milliseconds(500), true, "engine_unreachable");
+  ReportedAt = Now;
+  for (const WaitingRequest &W : Queue)
+    refuse(W.Request, std::chrono::milliseconds(500), true,
+           "engine_unreachable");
   Queue.clear();
   Prefetches.clear();
 }
 
-void SideAdmission::serveQueue(const Time &N) {
+void SideAdmission::serveQueue(const Time &Now) {
   for (auto It = Queue.begin(); It != Queue.end();) {
-    if (!ready(N, It->Ask)) {
+    if (!ready(Now, It->Request)) {
       ++It;
       continue;
     }
-    if (!hasRoom(It->Ask))
+    if (!hasCapacity(It->Request))
       return;
-    const AdmissionAsk A = std::move(It->Ask);
+    const AdmissionAsk Request = std::move(It->Request);
     It = Queue.erase(It);
-    grant(N, A);
+    grant(Now, Request);
   }
 }
 
-void SideAdmission::expire(const Time &N) {
+void SideAdmission::expire(const Time &Now) {
   for (auto It = Queue.begin(); It != Queue.end();) {
-    if (N < It->Until) {
+    if (Now < It->Until) {
       ++It;
       continue;
     }
-    const AdmissionAsk A = std::move(It->Ask);
+    const AdmissionAsk Request = std::move(It->Request);
     It = Queue.erase(It);
-    refuse(A, expectedWait(N, A), ready(N, A), "waited_too_long");
+    refuse(Request, expectedWait(Now, Request), ready(Now, Request),
+           "waited_too_long");
   }
-  std::vector<Key> Lost;
+  std::vector<RequestKey> Expired;
   for (const auto &[Id, G] : Grants)
-    if (N >= G.Expires)
-      Lost.push_back(Id);
-  for (const Key &Id : Lost)
-    onEnd(N, Id.first, Id.second, Duration(0));
-  Prefetches.remove_if(
-      [&](const Waiting &W) { return N >= W.Until || ready(N, W.Ask); });
+    if (Now >= G.ExpiresAt)
+      Expired.push_back(Id);
+  for (const RequestKey &Id : Expired)
+    onEnd(Now, Id.first, Id.second, Duration(0));
+  Prefetches.remove_if([&](const WaitingRequest &W) {
+    return Now >= W.Until || ready(Now, W.Request);
+  });
 }
 
-void SideAdmission::onTimer(const Time &N) {
-  expire(N);
-  serveQueue(N);
-  placeOrder(N);
+void SideAdmission::onTimer(const Time &Now) {
+  expire(Now);
+  serveQueue(Now);
+  placeOrder(Now);
 }
 
-EngineLoad SideAdmission::load(const Time &N) const {
+EngineLoad SideAdmission::load(const Time &Now) const {
   EngineLoad Out;
   Out.Serving = Reachable && !Report.Models.empty();
-  Out.Backlog = Prefill.backlogs(N);
+  Out.Backlog = Prefill.backlogs(Now);
   Out.PrefillRate = Prefill.rate();
-  Out.Utilisation = Prefill.utilisation(N);
+  Out.Utilisation = Prefill.utilisation(Now);
   Out.Running = static_cast<uint32_t>(Grants.size());
   for (const auto &[Name, S] : Adapters) {
-    if (S.Incoming || isOutdated(N, Name))
+    if (S.Incoming || isOutdated(Now, Name))
       continue;
     const size_t Slash = Name.find('/');
     Out.Held.push_back(
--- a/admission/side_admission.h
+++ b/admission/side_admission.h
@@ -1,12 +1,14 @@
-// The decisions of a side for its engine: which requests may be sent now, which
-// wait for an adapter, which adapters are loaded and evicted. The side is the
-// only one that gives the engine orders. A state machine without I/O or clocks.
+// Admission control for one engine: decides which requests may be sent to it
+// now, which wait for an adapter, and which adapters are loaded and evicted.
+// The side is the only process that sends load and unload orders to the engine.
+// A state machine without I/O or clocks.
 //
-//   SideAdmission A(SideAdmission::Options(), Port);
-//   A.onReport(N, Report);
-//   A.onAsk(N, Ask);            // answered by Port.reply(...), now or later
-//   A.onRelease(N, Peer, Id);   // the request has ended
-//   A.onTimer(N);
+//   SideAdmission Admission(SideAdmission::Options(), Port);
+//   Admission.onReport(Now, Report);
+//   Admission.onEnd(Now, Peer, Id, FirstToken);   // the request has ended
+//   Admission.onTimer(Now);
+//
+// Admission requests are answered through SidePort::reply(), at once or later.
 #ifndef GOLDCRESTLINK_ADMISSION_SIDE_ADMISSION_H
 #define GOLDCRESTLINK_ADMISSION_SIDE_ADMISSION_H
 
@@ -26,76 +28,80 @@
 
 namespace goldcrestlink {
 
-/// A request for admission by an entry.
+/// An entry's question whether it may send a request to the engine.
 struct AdmissionAsk {
-  /// The entry's connection, opaque.
+  /// Identifies the entry's connection; opaque.
   std::string Peer;
   /// Unique per entry.
   uint64_t Id = 0;
   std::string Model;
-  /// Empty: the base model itself.
+  /// Empty for the base model itself.
   std::string Adapter;
   /// Newest version that the entry knows of; 0 if none was announced.
   uint64_t Version = 0;
   uint32_t Rank = 0;
   uint32_t PromptTokens = 0;
   uint32_t OutputTokens = 0;
-  /// How long the entry would wait for this side.
+  /// Maximum wait: the longest expected wait that the entry accepts.
   Duration Patience{};
-  /// Until the first token is late; may be negative.
+  /// Time left until the request's latency objective for the first token; may
+  /// be negative.
   Duration ObjectiveLeft{};
+  /// Time left until the request's deadline.
   Duration TimeLeft{};
-  /// Only have the adapter loaded; no request is sent.
+  /// Only loads the adapter; no request follows, and no reply is sent.
   bool Prefetch = false;
 };
 
 enum class Verdict { Go, Wait, Refuse };
 
-/// The answer to an ask. Wait is followed by Go or Refuse later.
+/// The answer to an admission request. Wait is followed by Go or Refuse later.
 struct AdmissionReply {
   Verdict What = Verdict::Refuse;
-  /// The version that the engine holds and the request is to expect; 0 if the
-  /// engine names none.
+  /// The adapter version that the engine holds and that the request has to
+  /// expect; 0 for the base model, or if the engine reports no version.
   uint64_t Version = 0;
-  /// Go, Wait: expected time to the first token besides the request's own
-  /// prompt. Refuse: when to ask again.
+  /// Go, Wait: expected time to the first token without the prefill of the
+  /// request's own prompt. Refuse: delay before the entry should retry.
   Duration Expected{};
-  /// Refuse: another engine may serve the request sooner. False if what it
-  /// waits for, an adapter from the store, would take as long elsewhere.
+  /// Refuse: true if another engine may serve the request sooner. False if the
+  /// request waits for an adapter from the store, since another engine would
+  /// take as long to load it.
   bool TryElsewhere = true;
-  /// For the log, in a word.
+  /// Reason in one word, for the log.
   std::string_view Reason;
 };
 
-/// Load of one engine as entries see it.
+/// The load of one engine, as reported to entries.
 struct EngineLoad {
-  /// False while the engine cannot be reached or has no base model.
+  /// False while the engine is unreachable or holds no base model.
   bool Serving = false;
-  /// Work that stands before a new prompt, by its rank.
+  /// Expected wait of a new prompt, by its rank.
   Backlogs Backlog{};
-  /// Prompt tokens read per millisecond.
+  /// Prefill rate in tokens per millisecond.
   double PrefillRate = 20;
-  /// Share of the engine's time that reading prompts takes.
+  /// Share of the engine's time spent on prefill.
   double Utilisation = 0;
   uint32_t Running = 0;
-  /// Adapters that requests can use at once, by adapterHash().
+  /// Adapters that are ready for requests, by adapterHash().
   std::vector<uint32_t> Held;
 
   bool operator==(const EngineLoad &) const = default;
 };
 
-/// "model/adapter"; an empty adapter names the base model. Thread-safe.
+/// Returns "model/adapter"; an empty \p Adapter stands for the base model.
+/// Thread-safe.
 std::string adapterName(std::string_view Model, std::string_view Adapter);
 
-/// Short hash of an adapter for load messages. Thread-safe.
+/// 32-bit hash that identifies an adapter in load messages. Thread-safe.
 uint32_t adapterHash(std::string_view Model, std::string_view Adapter);
 
-/// What a SideAdmission asks its shell to do.
+/// The I/O layer of a SideAdmission.
 class SidePort {
 public:
   virtual ~SidePort() = default;
-  virtual void reply(const AdmissionAsk &To, const AdmissionReply &R) = 0;
-  virtual void order(const EngineOrder &O) = 0;
+  virtual void reply(const AdmissionAsk &To, const AdmissionReply &Reply) = 0;
+  virtual void order(const EngineOrder &Order) = 0;
   virtual void log(LineClass Class, std::string Line) = 0;
 };
 
@@ -107,13 +113,13 @@
     size_t maxWaiting() const { return MaxWaiting; }
     const LoadWindow::Options &loads() const { return Loads; }
     Duration orderTimeout() const { return OrderTimeout; }
-    Duration baseLoadPause() const { return BaseLoadPause; }
+    Duration baseLoadInterval() const { return BaseLoadInterval; }
     double memoryShare() const { return MemoryShare; }
     Duration releaseSpread() const { return ReleaseSpread; }
     Duration replaceTime() const { return ReplaceTime; }
     uint64_t spreadSeed() const { return SpreadSeed; }
-    /// Differs between sides, so that they do not replace an adapter at the
-    /// same moment.
+    /// Has to differ between sides, so that they do not replace an adapter at
+    /// the same time.
     Options &setSpreadSeed(uint64_t Seed) {
       SpreadSeed = Seed;
       return *this;
@@ -122,20 +128,23 @@
   private:
     size_t MaxWaiting = 512;
     LoadWindow::Options Loads;
-    // An order without an answer may be carried out up to 12 s later; after
-    // this time another one with the same count settles which of them holds.
+    // An order that got no answer may be carried out up to 12 s later. After
+    // this time the same order is sent again with the same count, so that the
+    // engine carries out only one of the two.
     Duration OrderTimeout = std::chrono::milliseconds(500);
-    // At most one load of the base model in this time, so that an engine that
-    // keeps crashing does not use up the fleet's loads.
-    Duration BaseLoadPause = std::chrono::seconds(2);
-    // Share of the engine's memory that granted requests may be expected to
-    // need; beyond it the engine would preempt.
+    // Minimum time between two loads of the base model, so that an engine that
+    // crashes repeatedly does not use up the load capacity of all sides.
+    Duration BaseLoadInterval = std::chrono::seconds(2);
+    // Maximum share of the engine's memory that granted requests are expected
+    // to need; above it the engine would preempt running requests.
     double MemoryShare = 0.92;
-    // A side goes over to an announced version at a moment of its own within
-    // this time, while others still serve. The platform's bound is 5 s, and
-    // what runs on the old version may last more than a second.
+    // Each side switches to an announced version at a time of its own within
+    // this period, so that the other sides still serve the adapter. The
+    // platform allows 5 s for the switch, and requests that run on the old
+    // version may take more than a second.
     Duration ReleaseSpread = std::chrono::milliseconds(1800);
-    // Until the runs on an old version have ended and the new one is loaded.
+    // Expected time until the requests on an old version have ended and the new
+    // version is loaded.
     Duration ReplaceTime = std::chrono::milliseconds(1200);
     uint64_t SpreadSeed = 0;
   };
@@ -145,31 +154,38 @@
 
   // Commands.
 
-  /// \p Engine is the specification of the engine's service.
-  void onConfig(const Time &N, const EngineSpec &Engine);
+  /// Sets the specification of the engine's service.
+  void onConfig(const Time &Now, const EngineSpec &Engine);
   /// A newer version of an adapter was announced.
-  void onRelease(const Time &N, const WeightRelease &R);
-  void onAsk(const Time &N, AdmissionAsk Ask);
+  void onRelease(const Time &Now, const WeightRelease &Release);
+  /// An entry asks for admission. Answered through SidePort::reply(), at once
+  /// or later, unless it is a prefetch.
+  void onAsk(const Time &Now, AdmissionAsk Request);
   /// A granted or waiting request has ended. \p FirstToken is the time from
-  /// its sending to its first token, zero if it had none.
-  void onEnd(const Time &N, const std::string &Peer, uint64_t Id,
+  /// when the request was sent to its first token, or zero if it had none.
+  void onEnd(const Time &Now, const std::string &Peer, uint64_t Id,
              Duration FirstToken);
-  void onReport(const Time &N, const EngineReport &R);
-  /// The engine did not answer.
-  void onEngineSilent(const Time &N);
-  void onOrderOutcome(const Time &N, uint64_t Number, OrderOutcome Outcome);
-  void onTimer(const Time &N);
+  /// The engine has answered with its state.
+  void onReport(const Time &Now, const EngineReport &NewReport);
+  /// The engine did not answer a request for its state.
+  void onEngineSilent(const Time &Now);
+  /// \p Outcome is the result of the order \p Number, Unknown if it got no
+  /// answer.
+  void onOrderOutcome(const Time &Now, uint64_t Number, OrderOutcome Outcome);
+  /// Expires requests and grants, and sends the orders that are due.
+  void onTimer(const Time &Now);
 
   // Queries.
 
-  EngineLoad load(const Time &N) const;
-  /// True while an answer of the engine is awaited that changes a decision.
+  EngineLoad load(const Time &Now) const;
+  /// True while the next report can change a decision: an order is open or
+  /// being carried out.
   bool awaitsReport() const;
-  /// When the next report is worth asking for.
-  Time reportDue(const Time &N) const;
+  /// Time at which the next report should be requested.
+  Time reportDue(const Time &Now) const;
   size_t waiting() const { return Queue.size(); }
   size_t granted() const { return Grants.size(); }
-  /// The engine's last report, with what later orders changed.
+  /// The engine's last report, updated by the outcome of later orders.
   const EngineReport &report() const { return Report; }
   /// Tokens of memory that granted requests are expected to need.
   uint64_t grantedTokens() const { return TokensGranted; }
@@ -177,85 +193,94 @@
   uint64_t evictions() const { return Evictions; }
 
 private:
-  using Key = std::pair<std::string, uint64_t>;
+  // Peer and id of an admission request.
+  using RequestKey = std::pair<std::string, uint64_t>;
 
   struct Grant {
     std::string Adapter; // "model/adapter", empty for the base model.
+    // Expected memory need in tokens.
     uint64_t Tokens = 0;
-    uint32_t Prompt = 0;
-    // It found nothing before it, so its delay tells the engine's rate.
+    uint32_t PromptTokens = 0;
+    // True if there was no prefill backlog at the grant, so that the delay of
+    // the first token depends on the engine's prefill rate alone.
     bool FoundIdle = false;
-    Time Granted;
-    Time Expires;
+    Time GrantedAt;
+    Time ExpiresAt;
   };
 
-  struct Waiting {
-    AdmissionAsk Ask;
+  struct WaitingRequest {
+    AdmissionAsk Request;
     Time Since;
     Time Until;
-    // Until then the adapter must be there for the first token to be in time.
+    // Latest start of the adapter load for the first token to meet its
+    // objective.
     Time LoadBy;
   };
 
-  struct Release {
+  struct AnnouncedVersion {
     uint64_t Version = 0;
-    // No request is granted on an older version from then on.
+    // From this time on, no request is granted on an older version.
     Time RequiredFrom{};
   };
 
   struct AdapterState {
     uint64_t Version = 0;
+    // True while the adapter is being loaded and no version of it is held.
     bool Incoming = false;
-    Time Ordered{};
+    Time OrderedAt{};
     Time LastUsed{};
+    // Number of granted requests that use the adapter.
     uint32_t Pins = 0;
   };
 
   const HeldModel *baseModel(std::string_view Model) const;
-  uint64_t requiredVersion(const Time &N, const std::string &Name) const;
-  const AdapterState *held(const std::string &Name) const;
-  bool ready(const Time &N, const AdmissionAsk &A) const;
-  bool isOutdated(const Time &N, const std::string &Name) const;
-  bool hasRoom(const AdmissionAsk &A) const;
-  void grant(const Time &N, const AdmissionAsk &A);
-  void refuse(const AdmissionAsk &A, Duration Again, bool TryElsewhere,
-              std::string_view Reason);
-  Duration expectedWait(const Time &N, const AdmissionAsk &A) const;
-  void serveQueue(const Time &N);
-  void expire(const Time &N);
-  void placeOrder(const Time &N);
-  bool orderBaseModel(const Time &N);
-  bool orderAdapter(const Time &N, const std::string &Model,
+  uint64_t requiredVersion(const Time &Now, const std::string &Name) const;
+  const AdapterState *heldAdapter(const std::string &Name) const;
+  bool ready(const Time &Now, const AdmissionAsk &Request) const;
+  bool isOutdated(const Time &Now, const std::string &Name) const;
+  bool hasCapacity(const AdmissionAsk &Request) const;
+  void grant(const Time &Now, const AdmissionAsk &Request);
+  void refuse(const AdmissionAsk &Request, Duration RetryAfter,
+              bool TryElsewhere, std::string_view Reason);
+  Duration expectedWait(const Time &Now, const AdmissionAsk &Request) const;
+  void serveQueue(const Time &Now);
+  void expire(const Time &Now);
+  void placeOrder(const Time &Now);
+  bool orderBaseModel(const Time &Now);
+  bool orderAdapter(const Time &Now, const std::string &Model,
                     const std::string &Adapter);
-  bool evictOne(const Time &N, const std::string &For);
-  void evict(const Time &N, const std::string &Name, std::string_view Why);
-  bool dropOutdated(const Time &N);
-  void give(const Time &N, OrderKind Kind, const std::string &Model,
-            const std::string &Adapter);
+  bool evictLeastRecentlyUsed(const Time &Now, const std::string &For);
+  void evict(const Time &Now, const std::string &Name, std::string_view Reason);
+  bool unloadOutdated(const Time &Now);
+  void sendOrder(const Time &Now, OrderKind Kind, const std::string &Model,
+                 const std::string &Adapter);
   uint32_t slotsUsed() const;
   uint32_t incoming() const;
   bool neededByQueue(const std::string &Name) const;
-  std::vector<const AdmissionAsk *> wants(const Time &N) const;
-  size_t loadsAhead(const Time &N, const std::string &Name) const;
+  std::vector<const AdmissionAsk *> loadCandidates(const Time &Now) const;
+  size_t loadsAhead(const Time &Now, const std::string &Name) const;
 
   Options Opts;
   SidePort &Port;
   EngineSpec Spec;
   bool HasSpec = false;
-  std::map<std::string, Release> Released;
+  std::map<std::string, AnnouncedVersion> Announced;
   EngineReport Report;
   bool Reachable = false;
   Time ReportedAt{};
   std::map<std::string, AdapterState> Adapters;
-  std::map<Key, Grant> Grants;
-  std::list<Waiting> Queue;
-  std::list<Waiting> Prefetches;
-  // The order whose outcome is open, if any.
-  std::optional<EngineOrder> Open;
-  Time OpenSince{};
-  bool OpenAnswered = false;
-  uint64_t NextOrder = 1;
-  Time NextBaseLoad{};
+  std::map<RequestKey, Grant> Grants;
+  // Waiting requests by rank, then by arrival.
+  std::list<WaitingRequest> Queue;
+  std::list<WaitingRequest> Prefetches;
+  // The order whose outcome is not known yet, if any.
+  std::optional<EngineOrder> OpenOrder;
+  Time OrderSentAt{};
+  // True if the open order was answered, but the engine's state after it will
+  // be known only from the next report.
+  bool OrderAnswered = false;
+  uint64_t NextOrderNumber = 1;
+  Time NextBaseLoadAt{};
   Time NoOrderBefore{};
   PrefillModel Prefill;
   LoadWindow Loads;
--- a/admission/side_orders.cc
+++ b/admission/side_orders.cc
@@ -1,10 +1,12 @@
-// SideAdmission's reports and orders: which adapters to load and evict.
+// The part of SideAdmission that processes engine reports and decides which
+// adapters to load and evict.
 //
-// At most one order is open at a time. Every order names the count of orders
-// that the engine must have; an unanswered order stays open, and its slot
-// counts as taken, until the count has moved past it, since from then on it
-// cannot be carried out any more. All scans are over at most
-// Options::maxWaiting() requests or the engine's adapter slots.
+// At most one order is open at a time. Every order gives the count of orders
+// that the engine must have when it carries it out. An order without an answer
+// stays open until a report shows a higher count, since from then on the engine
+// refuses it. Until then no different order is sent, so its slot stays
+// reserved. All scans are over at most Options::maxWaiting() requests or the
+// engine's adapter slots.
 #include <algorithm>
 
 #include "admission/side_admission.h"
@@ -13,77 +15,80 @@
 
 namespace {
 
-// A granted request that is neither running nor waiting at the engine after
-// this time is taken for lost with its entry.
+// A granted request of this age is taken to be lost, with its entry, if the
+// engine reports no running or waiting requests.
 constexpr Duration LostGrantAge = std::chrono::milliseconds(1500);
-// Reports while nothing is awaited, and while an adapter is on its way.
+// Time between reports while no order is in progress, and while one is.
 constexpr Duration IdleReportInterval = std::chrono::milliseconds(250);
 constexpr Duration BusyReportInterval = std::chrono::milliseconds(10);
-// An adapter that the engine held recently comes back within this time; before
-// it, a report tells nothing new.
-constexpr Duration FirstLoadCheck = std::chrono::milliseconds(24);
-// See wants().
-constexpr uint64_t LateTurn = 4;
+// Duration of the fastest adapter loads, those of adapters that the engine held
+// recently. An earlier report cannot show the adapter as loaded.
+constexpr Duration FastLoadTime = std::chrono::milliseconds(24);
+// One of this many loads goes to late requests first; see loadCandidates().
+constexpr uint64_t LateLoadInterval = 4;
 
 } // namespace
 
-void SideAdmission::onReport(const Time &N, const EngineReport &R) {
-  const bool Restarted = Reachable && R.StartedMs != Report.StartedMs;
-  // Overtaken by the answer to a later order.
-  if (Reachable && !Restarted && R.OrderCount < Report.OrderCount) {
-    ReportedAt = N;
+void SideAdmission::onReport(const Time &Now, const EngineReport &NewReport) {
+  const bool Restarted = Reachable && NewReport.StartedMs != Report.StartedMs;
+  // The report is older than the answer to the last order.
+  if (Reachable && !Restarted && NewReport.OrderCount < Report.OrderCount) {
+    ReportedAt = Now;
     return;
   }
   if (Restarted || !Reachable) {
-    Port.log(LineClass::Kept,
-             "engine state=up started_ms=" + std::to_string(R.StartedMs) +
-                 " orders=" + std::to_string(R.OrderCount) +
-                 " models=" + std::to_string(R.Models.size()));
+    Port.log(
+        LineClass::Kept,
+        "engine state=up started_ms=" + std::to_string(NewReport.StartedMs) +
+            " orders=" + std::to_string(NewReport.OrderCount) +
+            " models=" + std::to_string(NewReport.Models.size()));
     if (Restarted) {
       Grants.clear();
       TokensGranted = 0;
-      Prefill.clear(N);
+      Prefill.clear(Now);
       Adapters.clear();
-      Open.reset();
-      NextBaseLoad = N;
+      OpenOrder.reset();
+      NextBaseLoadAt = Now;
     }
   }
   Reachable = true;
-  Report = R;
-  ReportedAt = N;
-  std::map<std::string, AdapterState> Next;
-  const auto Note = [&](const std::string &Model, const HeldAdapter &A,
-                        bool Incoming) {
+  Report = NewReport;
+  ReportedAt = Now;
+  std::map<std::string, AdapterState> Reported;
+  const auto AddAdapter = [&](const std::string &Model, const HeldAdapter &A,
+                              bool Incoming) {
     const std::string Name = adapterName(Model, A.Name);
-    if (Open && !OpenAnswered && Open->Kind == OrderKind::Unload &&
-        Name == adapterName(Open->Model, Open->Adapter))
-      return; // May be gone at any moment.
+    if (OpenOrder && !OrderAnswered && OpenOrder->Kind == OrderKind::Unload &&
+        Name == adapterName(OpenOrder->Model, OpenOrder->Adapter))
+      return; // The engine may unload it at any time.
     AdapterState S;
     if (const auto It = Adapters.find(Name); It != Adapters.end())
       S = It->second;
     else
-      S.LastUsed = N;
-    if (!Incoming && S.Incoming && S.Ordered != Time{})
-      Loads.onLoaded(N - S.Ordered);
+      S.LastUsed = Now;
+    if (!Incoming && S.Incoming && S.OrderedAt != Time{})
+      Loads.onLoaded(Now - S.OrderedAt);
     if (!Incoming)
       S.Version = A.Version;
-    else if (const auto It = Next.find(Name); It != Next.end())
-      return; // A replacement: the held version goes on serving.
+    else if (const auto It = Reported.find(Name); It != Reported.end())
+      return; // A new version; the held one stays in use until it is loaded.
     S.Incoming = Incoming;
-    Next[Name] = S;
+    Reported[Name] = S;
   };
-  for (const HeldModel &M : R.Models)
+  for (const HeldModel &M : NewReport.Models)
     for (const HeldAdapter &A : M.Adapters)
-      Note(M.Name, A, false);
-  for (const IncomingAdapter &I : R.Incoming)
-    Note(I.Model, I.Adapter, true);
-  Adapters = std::move(Next);
-  // Settled by its answer, or since this order or a later one was accepted.
-  if (Open && (OpenAnswered || R.OrderCount > Open->ExpectedCount))
-    Open.reset();
-  if (R.Running + R.Waiting == 0)
+      AddAdapter(M.Name, A, false);
+  for (const IncomingAdapter &I : NewReport.Incoming)
+    AddAdapter(I.Model, I.Adapter, true);
+  Adapters = std::move(Reported);
+  // The order is closed by its answer, or because the higher count shows that
+  // this order or a later one was accepted.
+  if (OpenOrder &&
+      (OrderAnswered || NewReport.OrderCount > OpenOrder->ExpectedCount))
+    OpenOrder.reset();
+  if (NewReport.Running + NewReport.Waiting == 0)
     std::erase_if(Grants, [&](const auto &Item) {
-      if (N - Item.second.Granted < LostGrantAge)
+      if (Now - Item.second.GrantedAt < LostGrantAge)
         return false;
       TokensGranted -= std::min(TokensGranted, Item.second.Tokens);
       if (const auto It = Adapters.find(Item.second.Adapter);
@@ -91,10 +96,10 @@
         --It->second.Pins;
       return true;
     });
-  if (R.Running + R.Waiting == 0)
-    Prefill.clear(N);
-  serveQueue(N);
-  placeOrder(N);
+  if (NewReport.Running + NewReport.Waiting == 0)
+    Prefill.clear(Now);
+  serveQueue(Now);
+  placeOrder(Now);
 }
 
 uint32_t SideAdmission::incoming() const {
@@ -109,78 +114,84 @@
 }
 
 bool SideAdmission::neededByQueue(const std::string &Name) const {
-  return std::any_of(Queue.begin(), Queue.end(), [&](const Waiting &W) {
-    return adapterName(W.Ask.Model, W.Ask.Adapter) == Name;
+  return std::any_of(Queue.begin(), Queue.end(), [&](const WaitingRequest &W) {
+    return adapterName(W.Request.Model, W.Request.Adapter) == Name;
   });
 }
 
-// Adapters of high demand come first, since many requests will use them; then
-// what can still be in time, by rank and arrival; then what is late anyway.
-// Each LateTurn-th load goes to what is late, so that it does not starve.
-std::vector<const AdmissionAsk *> SideAdmission::wants(const Time &N) const {
+// Prefetches come first, since many requests will use their adapters; then the
+// requests that can still meet their objective, by rank and arrival; then the
+// late ones. For every LateLoadInterval-th load, late requests precede those in
+// time, so that they do not starve.
+std::vector<const AdmissionAsk *>
+SideAdmission::loadCandidates(const Time &Now) const {
   std::vector<const AdmissionAsk *> Out;
-  for (const Waiting &W : Prefetches)
-    Out.push_back(&W.Ask);
-  const bool LateFirst = LoadsOrdered % LateTurn == LateTurn - 1;
+  for (const WaitingRequest &W : Prefetches)
+    Out.push_back(&W.Request);
+  const bool LateFirst =
+      LoadsOrdered % LateLoadInterval == LateLoadInterval - 1;
   for (const bool Late : {LateFirst, !LateFirst})
-    for (const Waiting &W : Queue)
-      if ((N >= W.LoadBy) == Late)
-        Out.push_back(&W.Ask);
+    for (const WaitingRequest &W : Queue)
+      if ((Now >= W.LoadBy) == Late)
+        Out.push_back(&W.Request);
   return Out;
 }
 
-void SideAdmission::placeOrder(const Time &N) {
-  if (!HasSpec || !Reachable || N < NoOrderBefore)
+void SideAdmission::placeOrder(const Time &Now) {
+  if (!HasSpec || !Reachable || Now < NoOrderBefore)
     return;
-  if (Open) {
-    if (OpenAnswered || N - OpenSince < Opts.orderTimeout())
+  if (OpenOrder) {
+    if (OrderAnswered || Now - OrderSentAt < Opts.orderTimeout())
       return;
-    // Unanswered: the same order with the same count. Whichever of the two is
-    // accepted moves the count, and the other one is refused by it.
-    EngineOrder Again = *Open;
-    give(N, Again.Kind, Again.Model, Again.Adapter);
+    // No answer: send the same order with the same count. When the engine
+    // accepts one of the two, its count changes, so that it refuses the other
+    // one.
+    EngineOrder Repeated = *OpenOrder;
+    sendOrder(Now, Repeated.Kind, Repeated.Model, Repeated.Adapter);
     return;
   }
-  if (orderBaseModel(N))
+  if (orderBaseModel(Now))
     return;
-  if (dropOutdated(N))
+  if (unloadOutdated(Now))
     return;
-  for (const AdmissionAsk *A : wants(N)) {
-    const std::string Name = adapterName(A->Model, A->Adapter);
-    if (A->Adapter.empty() || !baseModel(A->Model) || held(Name))
+  for (const AdmissionAsk *Request : loadCandidates(Now)) {
+    const std::string Name = adapterName(Request->Model, Request->Adapter);
+    if (Request->Adapter.empty() || !baseModel(Request->Model) ||
+        heldAdapter(Name))
       continue;
-    if (orderAdapter(N, A->Model, A->Adapter))
+    if (orderAdapter(Now, Request->Model, Request->Adapter))
       return;
   }
 }
 
-// An adapter in use is never replaced by an order: the engine would refuse all
-// other orders until its runs have ended. It is unloaded once nothing uses it,
-// and loaded again, in its newest version, by the next request.
-bool SideAdmission::dropOutdated(const Time &N) {
+// An adapter in use is never replaced by an order, since the engine would
+// refuse all other orders until the requests that use it have ended. It is
+// unloaded when no request uses it any more, and the next request loads its
+// newest version.
+bool SideAdmission::unloadOutdated(const Time &Now) {
   for (const auto &[Name, S] : Adapters)
-    if (!S.Incoming && S.Pins == 0 && isOutdated(N, Name)) {
-      evict(N, std::string(Name), "outdated");
+    if (!S.Incoming && S.Pins == 0 && isOutdated(Now, Name)) {
+      evict(Now, std::string(Name), "outdated");
       return true;
     }
   return false;
 }
 
-bool SideAdmission::orderBaseModel(const Time &N) {
+bool SideAdmission::orderBaseModel(const Time &Now) {
   if (Report.Busy || Spec.Models.empty())
     return false;
   const ModelSpec &M = Spec.Models.front();
   const HeldModel *Base = baseModel(M.Name);
-  if (Base && Base->Version >= requiredVersion(N, adapterName(M.Name, "")))
+  if (Base && Base->Version >= requiredVersion(Now, adapterName(M.Name, "")))
     return false;
-  if (N < NextBaseLoad)
+  if (Now < NextBaseLoadAt)
     return false;
-  NextBaseLoad = N + Opts.baseLoadPause();
-  give(N, OrderKind::Load, M.Name, "");
+  NextBaseLoadAt = Now + Opts.baseLoadInterval();
+  sendOrder(Now, OrderKind::Load, M.Name, "");
   return true;
 }
 
-bool SideAdmission::orderAdapter(const Time &N, const std::string &Model,
+bool SideAdmission::orderAdapter(const Time &Now, const std::string &Model,
                                  const std::string &Adapter) {
   const std::string Name = adapterName(Model, Adapter);
   if (const auto It = Adapters.find(Name);
@@ -192,16 +203,17 @@
   if (incoming() >= Loads.size())
     return false;
   if (slotsUsed() >= Spec.AdapterSlots)
-    return evictOne(N, Name);
+    return evictLeastRecentlyUsed(Now, Name);
   Port.log(LineClass::Routine, "load adapter=" + Name + " slots_used=" +
                                    std::to_string(slotsUsed()) +
                                    " incoming=" + std::to_string(incoming()));
   ++LoadsOrdered;
-  give(N, OrderKind::Load, Model, Adapter);
+  sendOrder(Now, OrderKind::Load, Model, Adapter);
   return true;
 }
 
-bool SideAdmission::evictOne(const Time &N, const std::string &For) {
+bool SideAdmission::evictLeastRecentlyUsed(const Time &Now,
+                                           const std::string &For) {
   const std::string *Victim = nullptr;
   Time Oldest{};
   for (const auto &[Name, S] : Adapters) {
@@ -214,118 +226,121 @@
   }
   if (!Victim)
     return false;
-  evict(N, std::string(*Victim), For);
+  evict(Now, std::string(*Victim), For);
   return true;
 }
 
-void SideAdmission::evict(const Time &N, const std::string &Name,
-                          std::string_view Why) {
+void SideAdmission::evict(const Time &Now, const std::string &Name,
+                          std::string_view Reason) {
   const size_t Slash = Name.find('/');
   const AdapterState &S = Adapters.at(Name);
   Port.log(LineClass::Routine,
            "evict adapter=" + Name + " version=" + std::to_string(S.Version) +
-               " for=" + std::string(Why) +
-               " idle_ms=" + std::to_string((N - S.LastUsed).count() / 1000));
+               " for=" + std::string(Reason) +
+               " idle_ms=" + std::to_string((Now - S.LastUsed).count() / 1000));
   ++Evictions;
-  // Not granted any more from now on.
+  // From now on no request is granted on this adapter.
   Adapters.erase(Name);
-  give(N, OrderKind::Unload, Name.substr(0, Slash), Name.substr(Slash + 1));
+  sendOrder(Now, OrderKind::Unload, Name.substr(0, Slash),
+            Name.substr(Slash + 1));
 }
 
-void SideAdmission::give(const Time &N, OrderKind Kind,
-                         const std::string &Model, const std::string &Adapter) {
+void SideAdmission::sendOrder(const Time &Now, OrderKind Kind,
+                              const std::string &Model,
+                              const std::string &Adapter) {
   EngineOrder O;
-  O.Number = NextOrder++;
+  O.Number = NextOrderNumber++;
   O.Kind = Kind;
   O.Model = Model;
   O.Adapter = Adapter;
   O.ExpectedCount = Report.OrderCount;
-  Open = O;
-  OpenSince = N;
-  OpenAnswered = false;
+  OpenOrder = O;
+  OrderSentAt = Now;
+  OrderAnswered = false;
   Port.order(O);
 }
 
-void SideAdmission::onOrderOutcome(const Time &N, uint64_t Number,
+void SideAdmission::onOrderOutcome(const Time &Now, uint64_t Number,
                                    OrderOutcome Outcome) {
-  if (!Open || Open->Number != Number)
+  if (!OpenOrder || OpenOrder->Number != Number)
     return;
   if (Outcome == OrderOutcome::Unknown) {
-    // Stays open; a report with a higher count settles it, or the same order
-    // is given again after the timeout.
-    Port.log(
-        LineClass::Kept,
-        "order outcome=unknown kind=" +
-            std::string(Open->Kind == OrderKind::Load ? "load" : "unload") +
-            " model=" + Open->Model + " adapter=" + Open->Adapter);
+    // The order stays open until a report shows a higher count; after the
+    // timeout the same order is sent again.
+    Port.log(LineClass::Kept,
+             "order outcome=unknown kind=" +
+                 std::string(OpenOrder->Kind == OrderKind::Load ? "load"
+                                                                : "unload") +
+                 " model=" + OpenOrder->Model +
+                 " adapter=" + OpenOrder->Adapter);
     return;
   }
-  const EngineOrder Done = *Open;
+  const EngineOrder Order = *OpenOrder;
   if (Outcome == OrderOutcome::Accepted || Outcome == OrderOutcome::Holds) {
-    // What the next report will say, so that orders can follow each other
-    // without waiting for it.
-    if (Outcome == OrderOutcome::Accepted || Done.Kind == OrderKind::Unload)
-      Report.OrderCount = Done.ExpectedCount + 1;
-    if (Done.Kind == OrderKind::Load && Outcome == OrderOutcome::Accepted) {
-      if (Done.Adapter.empty()) {
+    // Apply the effect that the next report will show, so that the next order
+    // need not wait for that report.
+    if (Outcome == OrderOutcome::Accepted || Order.Kind == OrderKind::Unload)
+      Report.OrderCount = Order.ExpectedCount + 1;
+    if (Order.Kind == OrderKind::Load && Outcome == OrderOutcome::Accepted) {
+      if (Order.Adapter.empty()) {
         Report.Busy = true;
       } else {
-        Report.Incoming.push_back({Done.Model, {Done.Adapter, 0}});
-        AdapterState &S = Adapters[adapterName(Done.Model, Done.Adapter)];
-        if (S.Version == 0)
-          S.Incoming = true;
-        S.Ordered = N;
-        S.LastUsed = N;
+        Report.Incoming.push_back({Order.Model, {Order.Adapter, 0}});
+        AdapterState &State = Adapters[adapterName(Order.Model, Order.Adapter)];
+        if (State.Version == 0)
+          State.Incoming = true;
+        State.OrderedAt = Now;
+        State.LastUsed = Now;
       }
-    } else if (Done.Kind == OrderKind::Unload && !Done.Adapter.empty()) {
+    } else if (Order.Kind == OrderKind::Unload && !Order.Adapter.empty()) {
       for (HeldModel &M : Report.Models)
-        if (M.Name == Done.Model)
+        if (M.Name == Order.Model)
           std::erase_if(M.Adapters, [&](const HeldAdapter &A) {
-            return A.Name == Done.Adapter;
+            return A.Name == Order.Adapter;
           });
     }
-    if (Outcome == OrderOutcome::Holds && Done.Kind == OrderKind::Load) {
-      // The report in hand is older than the engine's state.
-      OpenAnswered = true;
+    if (Outcome == OrderOutcome::Holds && Order.Kind == OrderKind::Load) {
+      // The last report is older than the engine's state; request a new one.
+      OrderAnswered = true;
       ReportedAt = Time{};
       return;
     }
-    Open.reset();
-    return placeOrder(N);
+    OpenOrder.reset();
+    return placeOrder(Now);
   }
   Port.log(LineClass::Kept,
            "order outcome=" +
                std::string(Outcome == OrderOutcome::Conflict ? "conflict"
                                                              : "refused") +
-               " kind=" + (Done.Kind == OrderKind::Load ? "load" : "unload") +
-               " expected=" + std::to_string(Done.ExpectedCount) +
-               " model=" + Done.Model + " adapter=" + Done.Adapter);
-  // A fresh report tells the count; until then no further order.
-  OpenAnswered = true;
+               " kind=" + (Order.Kind == OrderKind::Load ? "load" : "unload") +
+               " expected=" + std::to_string(Order.ExpectedCount) +
+               " model=" + Order.Model + " adapter=" + Order.Adapter);
+  // Send no further order until a new report shows the engine's count.
+  OrderAnswered = true;
   ReportedAt = Time{};
-  NoOrderBefore = N + BusyReportInterval;
+  NoOrderBefore = Now + BusyReportInterval;
 }
 
 bool SideAdmission::awaitsReport() const {
-  return OpenAnswered || Report.Busy || !Report.Incoming.empty() ||
-         (Open.has_value() && !OpenAnswered);
+  return OrderAnswered || Report.Busy || !Report.Incoming.empty() ||
+         (OpenOrder.has_value() && !OrderAnswered);
 }
 
-Time SideAdmission::reportDue(const Time &N) const {
+Time SideAdmission::reportDue(const Time &Now) const {
   if (ReportedAt == Time{})
-    return N;
+    return Now;
   if (!Reachable)
     return ReportedAt + IdleReportInterval / 2;
   if (!awaitsReport())
     return ReportedAt + IdleReportInterval;
-  Time Soonest = ReportedAt + BusyReportInterval;
-  Time Youngest{};
+  Time Due = ReportedAt + BusyReportInterval;
+  Time LastOrdered{};
   for (const auto &[Name, S] : Adapters)
     if (S.Incoming)
-      Youngest = std::max(Youngest, S.Ordered);
-  if (incoming() == 1 && Youngest != Time{})
-    Soonest = std::max(Soonest, Youngest + FirstLoadCheck);
-  return Soonest;
+      LastOrdered = std::max(LastOrdered, S.OrderedAt);
+  if (incoming() == 1 && LastOrdered != Time{})
+    Due = std::max(Due, LastOrdered + FastLoadTime);
+  return Due;
 }
 
 } // namespace goldcrestlink
