--- a/placement/load_broker.cc
+++ b/placement/load_broker.cc
@@ -1,72 +1,74 @@
-// A grant scans the waiting wishes once per permit; wishes are bounded and
-// permits come at the store's rate, a few per second. The rank is picked by
-// its declared share of the loads; within it the wish that frees most worth
-// goes first, then the one that has waited longest.
+// grant() scans all waiting load requests once per permit. Their number is
+// bounded, and permits are granted at the store's rate, a few per second. The
+// rank is chosen by its declared share of the loads. Within a rank, the load
+// that serves requests of the most worth goes first, then the one that has
+// waited longest.
 #include "placement/load_broker.h"
 
 #include <algorithm>
 
 namespace goldcrestlink {
 
-void TokenBucket::refill(Time N) {
+void TokenBucket::refill(Time Now) {
   if (Updated == Time{})
-    Updated = N;
-  if (N <= Updated)
+    Updated = Now;
+  if (Now <= Updated)
     return;
-  Level = std::min(Burst, Level + Rate * seconds(N - Updated));
-  Updated = N;
+  Level = std::min(Burst, Level + Rate * seconds(Now - Updated));
+  Updated = Now;
 }
 
-bool TokenBucket::take(Time N) {
-  refill(N);
+bool TokenBucket::take(Time Now) {
+  refill(Now);
   if (Level < 1)
     return false;
   Level -= 1;
   return true;
 }
 
-void TokenBucket::giveBack() { Level = std::min(Burst, Level + 1); }
+void TokenBucket::returnToken() { Level = std::min(Burst, Level + 1); }
 
-Duration TokenBucket::untilNext(Time N) const {
-  const double Now = std::min(Burst, Level + Rate * seconds(N - Updated));
-  return Now >= 1 ? Duration(0) : fromSeconds((1 - Now) / Rate);
+Duration TokenBucket::untilNext(Time Now) const {
+  const double Tokens = std::min(Burst, Level + Rate * seconds(Now - Updated));
+  return Tokens >= 1 ? Duration(0) : fromSeconds((1 - Tokens) / Rate);
 }
 
 LoadBroker::LoadBroker(Options O, std::vector<double> RankShares)
     : Limits(O), Bucket(O.rate(), O.burst()),
       Shares(std::move(RankShares), std::chrono::seconds(10)) {}
 
-void LoadBroker::request(Time N, const PermitWish &Wish) {
-  const Key K{Wish.Side, Wish.Adapter};
-  const auto It = Wishes.find(K);
-  if (It == Wishes.end() && Wishes.size() >= Limits.maxWishes())
+void LoadBroker::request(Time Now, const PermitWish &Request) {
+  const Key K{Request.Side, Request.Adapter};
+  const auto It = Waiting.find(K);
+  if (It == Waiting.end() && Waiting.size() >= Limits.maxWaiting())
     return;
-  PermitWish &Kept = Wishes[K];
-  const Time Since = It == Wishes.end() ? N : Kept.Since;
-  Kept = Wish;
-  Kept.Rank = std::min(Kept.Rank, Shares.classes() - 1);
-  Kept.Since = Since;
-  Kept.Renewed = N;
+  PermitWish &Stored = Waiting[K];
+  const Time Since = It == Waiting.end() ? Now : Stored.Since;
+  Stored = Request;
+  Stored.Rank = std::min(Stored.Rank, Shares.classes() - 1);
+  Stored.Since = Since;
+  Stored.Renewed = Now;
 }
 
 void LoadBroker::release(Time, const std::string &Side, uint64_t Adapter,
                          bool Used) {
   const Key K{Side, Adapter};
-  Wishes.erase(K);
+  Waiting.erase(K);
   if (Permits.erase(K) && !Used)
-    Bucket.giveBack();
+    Bucket.returnToken();
 }
 
-void LoadBroker::expire(Time N) {
-  std::erase_if(Wishes, [&](const auto &W) {
-    return N - W.second.Renewed > Limits.wishExpiry();
+void LoadBroker::expire(Time Now) {
+  std::erase_if(Waiting, [&](const auto &W) {
+    return Now - W.second.Renewed > Limits.requestExpiry();
   });
   std::erase_if(Permits, [&](const auto &P) {
-    return N - P.second > Limits.permitExpiry();
+    return Now - P.second > Limits.permitExpiry();
   });
 }
 
-// More worth freed by one load first, then pressed wishes, then the older.
+// The load of more worth goes first, then escalated requests, then the older
+// one.
 bool LoadBroker::goesBefore(const PermitWish &A, const PermitWish &B) {
   if (A.Priority != B.Priority)
     return A.Priority > B.Priority;
@@ -75,31 +77,31 @@
   return A.Since < B.Since;
 }
 
-std::vector<PermitWish> LoadBroker::grant(Time N) {
-  expire(N);
-  std::vector<PermitWish> Out;
-  while (!Wishes.empty() && Permits.size() < Limits.maxInFlight()) {
+std::vector<PermitWish> LoadBroker::grant(Time Now) {
+  expire(Now);
+  std::vector<PermitWish> Granted;
+  while (!Waiting.empty() && Permits.size() < Limits.maxInFlight()) {
     std::vector<std::map<Key, PermitWish>::iterator> Best(Shares.classes(),
-                                                          Wishes.end());
+                                                          Waiting.end());
     std::vector<bool> Eligible(Shares.classes());
-    std::vector<bool> Pressed(Shares.classes());
-    for (auto It = Wishes.begin(); It != Wishes.end(); ++It) {
+    std::vector<bool> Escalated(Shares.classes());
+    for (auto It = Waiting.begin(); It != Waiting.end(); ++It) {
       auto &B = Best[It->second.Rank];
-      if (B == Wishes.end() || goesBefore(It->second, B->second))
+      if (B == Waiting.end() || goesBefore(It->second, B->second))
         B = It;
       Eligible[It->second.Rank] = true;
       if (It->second.Pressed)
-        Pressed[It->second.Rank] = true;
+        Escalated[It->second.Rank] = true;
     }
-    const auto Rank = Shares.pick(Eligible, Pressed);
-    if (!Rank || !Bucket.take(N))
+    const auto Rank = Shares.pick(Eligible, Escalated);
+    if (!Rank || !Bucket.take(Now))
       break;
-    Shares.charge(N, *Rank, 1);
-    Permits[Best[*Rank]->first] = N;
-    Out.push_back(Best[*Rank]->second);
-    Wishes.erase(Best[*Rank]);
+    Shares.charge(Now, *Rank, 1);
+    Permits[Best[*Rank]->first] = Now;
+    Granted.push_back(Best[*Rank]->second);
+    Waiting.erase(Best[*Rank]);
   }
-  return Out;
+  return Granted;
 }
 
 } // namespace goldcrestlink
--- a/placement/load_broker.h
+++ b/placement/load_broker.h
@@ -1,10 +1,12 @@
-// Hands out permits to load adapters, so that all sides together stay within
-// the weight store's limits and the loads worth most go first. Any side can be
-// the broker; correctness never depends on it, only the store's queue does.
+// Grants permits to load adapters, so that all sides together stay within the
+// weight store's limits and the most valuable loads are started first. Any side
+// can be the broker. Correctness does not depend on the broker; only the length
+// of the store's queue does.
 //
-//   LoadBroker B(LoadBroker::Options().setRate(7).setBurst(2), Shares);
-//   B.request(Now, {Side, Adapter, Rank, Priority});
-//   for (const PermitWish &W : B.grant(Now)) tell(W.Side);
+//   LoadBroker Broker(LoadBroker::Options().setRate(7).setBurst(2), Shares);
+//   Broker.request(Now, {Side, Adapter, Rank, Priority});
+//   for (const auto &Granted : Broker.grant(Now))
+//     notify(Granted.Side, Granted.Adapter);
 #ifndef GOLDCRESTLINK_PLACEMENT_LOAD_BROKER_H
 #define GOLDCRESTLINK_PLACEMENT_LOAD_BROKER_H
 
@@ -17,41 +19,47 @@
 
 namespace goldcrestlink {
 
-/// Allows events at a rate, with a burst after a pause. Not thread-safe.
+/// Token bucket: limits events to an average rate and allows bursts. Not
+/// thread-safe.
 class TokenBucket {
 public:
-  /// \p Rate in events per second.
+  /// \p Rate in events per second; \p Burst is the capacity in tokens.
   TokenBucket(double Rate, double Burst)
       : Rate(Rate), Burst(Burst), Level(Burst) {}
   /// Takes a token; false if there is none.
-  bool take(Time N);
-  /// Returns a token that was not used.
-  void giveBack();
-  /// Time until a token is there.
-  Duration untilNext(Time N) const;
+  bool take(Time Now);
+  /// Returns a token that was taken but not used.
+  void returnToken();
+  /// Time until a token is available.
+  Duration untilNext(Time Now) const;
 
 private:
-  void refill(Time N);
+  void refill(Time Now);
   double Rate;
   double Burst;
+  // Number of tokens available as of Updated.
   double Level;
   Time Updated{};
 };
 
-/// A side's wish to load one adapter.
+/// A side's request for a permit to load one adapter.
 struct PermitWish {
   std::string Side;
+  /// Hash of the adapter version.
   uint64_t Adapter = 0;
   size_t Rank = 0;
-  /// Worth of the requests that the load would free.
+  /// Total worth of the requests that wait for the load.
   double Priority = 0;
-  /// Its requests need their rank's share now; others can still wait.
+  /// True if the waiting requests need their rank's share of the loads now;
+  /// false if they can still wait.
   bool Pressed = true;
+  /// When the broker received the request first, and last. Set by the broker.
   Time Since{};
   Time Renewed{};
 };
 
-/// Not thread-safe. Holds at most maxWishes() wishes.
+/// Not thread-safe. Holds at most maxWaiting() load requests that wait for a
+/// permit.
 class LoadBroker {
 public:
   class Options {
@@ -59,27 +67,27 @@
     double rate() const { return Rate; }
     double burst() const { return Burst; }
     size_t maxInFlight() const { return MaxInFlight; }
-    size_t maxWishes() const { return MaxWishes; }
-    Duration wishExpiry() const { return WishExpiry; }
+    size_t maxWaiting() const { return MaxWaiting; }
+    Duration requestExpiry() const { return RequestExpiry; }
     Duration permitExpiry() const { return PermitExpiry; }
     Options &setRate(double PerSecond) {
       Rate = PerSecond;
       return *this;
     }
-    Options &setBurst(double N) {
-      Burst = N;
+    Options &setBurst(double Permits) {
+      Burst = Permits;
       return *this;
     }
-    Options &setMaxInFlight(size_t N) {
-      MaxInFlight = N;
+    Options &setMaxInFlight(size_t Permits) {
+      MaxInFlight = Permits;
       return *this;
     }
-    Options &setMaxWishes(size_t N) {
-      MaxWishes = N;
+    Options &setMaxWaiting(size_t Requests) {
+      MaxWaiting = Requests;
       return *this;
     }
-    Options &setWishExpiry(Duration D) {
-      WishExpiry = D;
+    Options &setRequestExpiry(Duration D) {
+      RequestExpiry = D;
       return *this;
     }
     Options &setPermitExpiry(Duration D) {
@@ -88,36 +96,44 @@
     }
 
   private:
+    // Permits per second.
     double Rate = 7;
     double Burst = 2;
+    // Maximum number of permits in use at the same time.
     size_t MaxInFlight = 16;
-    size_t MaxWishes = 8192;
-    Duration WishExpiry = std::chrono::seconds(2);
+    size_t MaxWaiting = 8192;
+    Duration RequestExpiry = std::chrono::seconds(2);
     Duration PermitExpiry = std::chrono::seconds(5);
   };
 
+  /// \p RankShares are the declared shares of the loads, most urgent rank
+  /// first.
   LoadBroker(Options O, std::vector<double> RankShares);
 
-  /// Adds or renews a wish. A wish that is not renewed expires.
-  void request(Time N, const PermitWish &Wish);
-  /// Ends a permit, or withdraws a wish. \p Used is false if the permit was
-  /// not used, and its token is then given back.
-  void release(Time N, const std::string &Side, uint64_t Adapter, bool Used);
-  /// Wishes that get their permit now, best first.
-  std::vector<PermitWish> grant(Time N);
-  /// When grant() should be called again if wishes wait.
-  Duration untilNext(Time N) const { return Bucket.untilNext(N); }
-  size_t waiting() const { return Wishes.size(); }
+  /// Adds or renews a load request. A request that is not renewed expires.
+  /// Ignored if the broker already holds its maximum number of requests.
+  void request(Time Now, const PermitWish &Request);
+  /// Ends a permit, or withdraws a load request. If \p Used is false, the
+  /// permit was not used, and its token is returned to the bucket.
+  void release(Time Now, const std::string &Side, uint64_t Adapter, bool Used);
+  /// Grants as many permits as the limits allow. Returns the requests that were
+  /// granted, in the order of the grants.
+  std::vector<PermitWish> grant(Time Now);
+  /// Time until grant() should be called again if requests are waiting.
+  Duration untilNext(Time Now) const { return Bucket.untilNext(Now); }
+  size_t waiting() const { return Waiting.size(); }
 
 private:
+  // Side and adapter.
   using Key = std::pair<std::string, uint64_t>;
-  void expire(Time N);
+  void expire(Time Now);
   static bool goesBefore(const PermitWish &A, const PermitWish &B);
 
   Options Limits;
   TokenBucket Bucket;
   ShareTracker Shares;
-  std::map<Key, PermitWish> Wishes;
+  std::map<Key, PermitWish> Waiting;
+  // Permits in use, with the time of their grant.
   std::map<Key, Time> Permits;
 };
 
--- a/placement/load_planner.cc
+++ b/placement/load_planner.cc
@@ -1,6 +1,8 @@
-// Wants are few: one per adapter that waits at this side. A request is sent
-// when a want is new, when its priority changed, and to renew it. A broker
-// that leaves a request unanswered is passed over for a while.
+// There are few needed loads: one per adapter that requests wait for at this
+// side, so each plan() is a scan over them. A permit request is sent when a
+// load is newly needed, when its priority or escalation has changed, and to
+// renew it. A broker that leaves a request unanswered is skipped for the
+// backoff period.
 #include "placement/load_planner.h"
 
 #include <algorithm>
@@ -8,67 +10,68 @@
 namespace goldcrestlink {
 
 LoadPlanner::LoadPlanner(Options O, std::vector<std::string> Brokers)
-    : Limits(O), Brokers(std::move(Brokers)), Static(O.staticRate(), 1) {}
+    : Limits(O), Brokers(std::move(Brokers)), StaticShare(O.staticRate(), 1) {}
 
-std::string LoadPlanner::broker(Time N) const {
+std::string LoadPlanner::broker(Time Now) const {
   for (const std::string &B : Brokers) {
-    const auto It = PausedUntil.find(B);
-    if (It == PausedUntil.end() || It->second <= N)
+    const auto It = BackoffUntil.find(B);
+    if (It == BackoffUntil.end() || It->second <= Now)
       return B;
   }
   return {};
 }
 
-void LoadPlanner::noteSilence(Time N) {
-  for (auto &[Adapter, A] : Open)
-    if (!A.Answered && N - A.Sent > Limits.answerTimeout())
-      PausedUntil[A.Broker] = N + Limits.brokerPause();
-  std::erase_if(Open, [&](const auto &Item) {
-    const auto It = PausedUntil.find(Item.second.Broker);
-    return It != PausedUntil.end() && It->second > N;
+void LoadPlanner::backOffSilentBrokers(Time Now) {
+  for (auto &[Adapter, A] : OpenRequests)
+    if (!A.Answered && Now - A.Sent > Limits.answerTimeout())
+      BackoffUntil[A.Broker] = Now + Limits.brokerBackoff();
+  std::erase_if(OpenRequests, [&](const auto &Item) {
+    const auto It = BackoffUntil.find(Item.second.Broker);
+    return It != BackoffUntil.end() && It->second > Now;
   });
 }
 
-std::vector<PermitAsk> LoadPlanner::plan(Time N,
-                                         std::span<const LoadWant> Wants) {
-  noteSilence(N);
-  std::erase_if(Open, [&](const auto &Item) {
-    return std::none_of(Wants.begin(), Wants.end(), [&](const LoadWant &W) {
+std::vector<PermitAsk> LoadPlanner::plan(Time Now,
+                                         std::span<const LoadWant> Needed) {
+  backOffSilentBrokers(Now);
+  std::erase_if(OpenRequests, [&](const auto &Item) {
+    return std::none_of(Needed.begin(), Needed.end(), [&](const LoadWant &W) {
       return W.Adapter == Item.first;
     });
   });
   std::vector<PermitAsk> Out;
-  const std::string To = broker(N);
-  if (To.empty())
+  const std::string Target = broker(Now);
+  if (Target.empty())
     return Out;
-  for (const LoadWant &W : Wants) {
-    const auto It = Open.find(W.Adapter);
-    const bool Fresh = It != Open.end() && It->second.Priority == W.Priority &&
-                       It->second.Pressed == W.Pressed &&
-                       N - It->second.Sent < Limits.renewEvery();
-    const bool Pending = It != Open.end() && !It->second.Answered;
-    if (Fresh || Pending)
+  for (const LoadWant &W : Needed) {
+    const auto It = OpenRequests.find(W.Adapter);
+    const bool UpToDate = It != OpenRequests.end() &&
+                          It->second.Priority == W.Priority &&
+                          It->second.Escalated == W.Pressed &&
+                          Now - It->second.Sent < Limits.renewEvery();
+    const bool Pending = It != OpenRequests.end() && !It->second.Answered;
+    if (UpToDate || Pending)
       continue;
-    Open[W.Adapter] = {To, N, W.Priority, W.Pressed, false};
-    Out.push_back({To, W});
+    OpenRequests[W.Adapter] = {Target, Now, W.Priority, W.Pressed, false};
+    Out.push_back({Target, W});
   }
   return Out;
 }
 
 bool LoadPlanner::onAnswer(Time, const std::string &Broker, uint64_t Adapter,
                            bool Granted) {
-  PausedUntil.erase(Broker);
-  const auto It = Open.find(Adapter);
-  if (It == Open.end())
+  BackoffUntil.erase(Broker);
+  const auto It = OpenRequests.find(Adapter);
+  if (It == OpenRequests.end())
     return false;
   It->second.Answered = true;
   if (Granted)
-    Open.erase(It);
+    OpenRequests.erase(It);
   return Granted;
 }
 
-bool LoadPlanner::takeStatic(Time N) {
-  return broker(N).empty() && Static.take(N);
+bool LoadPlanner::takeStatic(Time Now) {
+  return broker(Now).empty() && StaticShare.take(Now);
 }
 
 } // namespace goldcrestlink
--- a/placement/load_planner.h
+++ b/placement/load_planner.h
@@ -1,10 +1,11 @@
-// Decides, at one side, for which loads to ask permission and of whom. Permits
-// come from a broker side; if no broker answers, the side falls back to its
-// static share of the store's rate.
+// Decides, at one side, for which adapter loads to request a permit, and from
+// which broker. If no broker answers, the side falls back to a static share of
+// the store's rate.
 //
-//   LoadPlanner P(LoadPlanner::Options().setStaticRate(0.35), Brokers);
-//   for (const PermitAsk &A : P.plan(Now, Wants)) send(A.Broker, A.What);
-//   P.onAnswer(Now, Broker, Adapter, Granted);
+//   LoadPlanner Planner(LoadPlanner::Options().setStaticRate(0.35), Brokers);
+//   for (const auto &Request : Planner.plan(Now, NeededLoads))
+//     send(Request);
+//   Planner.onAnswer(Now, Broker, Adapter, Granted);
 #ifndef GOLDCRESTLINK_PLACEMENT_LOAD_PLANNER_H
 #define GOLDCRESTLINK_PLACEMENT_LOAD_PLANNER_H
 
@@ -18,20 +19,25 @@
 
 namespace goldcrestlink {
 
-/// An adapter that waiting requests need.
+/// An adapter that waiting requests need and that is neither loaded nor
+/// loading.
 struct LoadWant {
+  /// Hash of Key.
   uint64_t Adapter = 0;
+  /// "adapter@version".
   std::string Key;
-  /// The most urgent rank that waits for it.
+  /// The most urgent rank among the requests that wait for the adapter.
   size_t Rank = 0;
-  /// Worth of all requests that wait for it.
+  /// Total worth of the requests that wait for the adapter.
   double Priority = 0;
+  /// Number of requests that wait for the adapter.
   size_t Waiting = 0;
-  /// Some request has waited long for its target.
+  /// True if a waiting request should not yield to others any more, since it
+  /// has waited for a large part of its target or is of the most urgent rank.
   bool Pressed = false;
 };
 
-/// A permit request to send.
+/// A request for a permit, to be sent to a broker.
 struct PermitAsk {
   std::string Broker;
   LoadWant What;
@@ -45,7 +51,7 @@
     double staticRate() const { return StaticRate; }
     Duration renewEvery() const { return RenewEvery; }
     Duration answerTimeout() const { return AnswerTimeout; }
-    Duration brokerPause() const { return BrokerPause; }
+    Duration brokerBackoff() const { return BrokerBackoff; }
     Options &setStaticRate(double PerSecond) {
       StaticRate = PerSecond;
       return *this;
@@ -58,47 +64,53 @@
       AnswerTimeout = D;
       return *this;
     }
-    Options &setBrokerPause(Duration D) {
-      BrokerPause = D;
+    Options &setBrokerBackoff(Duration D) {
+      BrokerBackoff = D;
       return *this;
     }
 
   private:
+    // Loads per second.
     double StaticRate = 0.35;
     Duration RenewEvery = std::chrono::milliseconds(500);
     Duration AnswerTimeout = std::chrono::milliseconds(300);
-    Duration BrokerPause = std::chrono::seconds(5);
+    Duration BrokerBackoff = std::chrono::seconds(5);
   };
 
-  /// \p Brokers are the sides that may be broker, first choice first.
+  /// \p Brokers are the sides that may be the broker, in order of preference.
   LoadPlanner(Options O, std::vector<std::string> Brokers);
 
-  /// Compares the present wants with what was asked; returns what to send.
-  std::vector<PermitAsk> plan(Time N, std::span<const LoadWant> Wants);
-  /// A broker answered. True if the adapter may be loaded now.
-  bool onAnswer(Time N, const std::string &Broker, uint64_t Adapter,
+  /// Compares the loads needed now with the open permit requests. Returns the
+  /// requests to send: new ones, changed ones and renewals.
+  std::vector<PermitAsk> plan(Time Now, std::span<const LoadWant> Needed);
+  /// A broker answered a permit request. Returns true if the adapter may be
+  /// loaded now.
+  bool onAnswer(Time Now, const std::string &Broker, uint64_t Adapter,
                 bool Granted);
-  /// Takes a load from the static share. True only while no broker answers.
-  bool takeStatic(Time N);
-  /// The broker that requests go to now; empty if none answers.
-  std::string broker(Time N) const;
+  /// Takes one load from the static share. Returns true if it may be started;
+  /// always false while a broker answers.
+  bool takeStatic(Time Now);
+  /// The broker that permit requests are sent to now; empty if none answers.
+  std::string broker(Time Now) const;
   const std::vector<std::string> &brokers() const { return Brokers; }
 
 private:
-  struct Asked {
+  struct OpenRequest {
     std::string Broker;
     Time Sent;
     double Priority = 0;
-    bool Pressed = false;
+    bool Escalated = false;
     bool Answered = false;
   };
-  void noteSilence(Time N);
+  void backOffSilentBrokers(Time Now);
 
   Options Limits;
   std::vector<std::string> Brokers;
-  std::unordered_map<std::string, Time> PausedUntil;
-  std::unordered_map<uint64_t, Asked> Open;
-  TokenBucket Static;
+  // End of the backoff of each broker that did not answer.
+  std::unordered_map<std::string, Time> BackoffUntil;
+  // Permit requests without a grant, by adapter.
+  std::unordered_map<uint64_t, OpenRequest> OpenRequests;
+  TokenBucket StaticShare;
 };
 
 } // namespace goldcrestlink
--- a/placement/slot_table.cc
+++ b/placement/slot_table.cc
@@ -1,4 +1,4 @@
-// Engines have few slots, so every look-up is a scan of them.
+// Every look-up scans all slots; an engine has only a few.
 #include "placement/slot_table.h"
 
 #include <cassert>
@@ -18,7 +18,7 @@
   return I && Slots[*I].State == SlotState::Ready;
 }
 
-std::optional<size_t> SlotTable::victim(Time N, const DemandTable &Demand,
+std::optional<size_t> SlotTable::victim(Time Now, const DemandTable &Demand,
                                         size_t Reserve) const {
   std::optional<size_t> Best;
   double BestValue = std::numeric_limits<double>::infinity();
@@ -29,7 +29,7 @@
       continue;
     ++Replaceable;
     const double Value =
-        S.State == SlotState::Empty ? -1 : Demand.value(N, S.Hash);
+        S.State == SlotState::Empty ? -1 : Demand.value(Now, S.Hash);
     if (Value < BestValue) {
       Best = I;
       BestValue = Value;
@@ -38,37 +38,38 @@
   return Replaceable > Reserve ? Best : std::nullopt;
 }
 
-double SlotTable::victimValue(Time N, const DemandTable &Demand) const {
-  const auto I = victim(N, Demand, 0);
+double SlotTable::victimValue(Time Now, const DemandTable &Demand) const {
+  const auto I = victim(Now, Demand, 0);
   if (!I)
     return std::numeric_limits<double>::infinity();
-  return Slots[*I].State == SlotState::Empty ? 0
-                                             : Demand.value(N, Slots[*I].Hash);
+  return Slots[*I].State == SlotState::Empty
+             ? 0
+             : Demand.value(Now, Slots[*I].Hash);
 }
 
-void SlotTable::beginLoad(size_t I, std::string Key, uint64_t Hash) {
-  Slot &S = Slots[I];
+void SlotTable::beginLoad(size_t Index, std::string Key, uint64_t Hash) {
+  Slot &S = Slots[Index];
   assert(S.Pins == 0 && S.State != SlotState::Loading);
   assert(!find(Hash));
   S = Slot{SlotState::Loading, std::move(Key), Hash, 0};
 }
 
-void SlotTable::finishLoad(size_t I, bool Loaded) {
-  assert(Slots[I].State == SlotState::Loading);
+void SlotTable::finishLoad(size_t Index, bool Loaded) {
+  assert(Slots[Index].State == SlotState::Loading);
   if (Loaded)
-    Slots[I].State = SlotState::Ready;
+    Slots[Index].State = SlotState::Ready;
   else
-    Slots[I] = Slot{};
+    Slots[Index] = Slot{};
 }
 
-void SlotTable::pin(size_t I) {
-  assert(Slots[I].State == SlotState::Ready);
-  ++Slots[I].Pins;
+void SlotTable::pin(size_t Index) {
+  assert(Slots[Index].State == SlotState::Ready);
+  ++Slots[Index].Pins;
 }
 
-void SlotTable::unpin(size_t I) {
-  assert(Slots[I].Pins > 0);
-  --Slots[I].Pins;
+void SlotTable::unpin(size_t Index) {
+  assert(Slots[Index].Pins > 0);
+  --Slots[Index].Pins;
 }
 
 void SlotTable::clear() {
--- a/placement/slot_table.h
+++ b/placement/slot_table.h
@@ -1,10 +1,12 @@
-// The adapter slots of one engine: what each holds, who uses it, and which may
-// be replaced. A slot with a pin is never replaced.
+// The adapter slots of one engine: which adapter version each slot holds, how
+// many requests use it, and which slot to replace next. A pinned slot is never
+// replaced.
 //
-//   SlotTable T(8);
-//   auto I = T.victim(Now, Demand, /*Reserve=*/1);
-//   T.beginLoad(*I, "stave-1@3", Hash);  T.finishLoad(*I, true);
-//   T.pin(*I); ... T.unpin(*I);
+//   SlotTable Slots(8);
+//   auto Index = Slots.victim(Now, Demand, /*Reserve=*/1);
+//   Slots.beginLoad(*Index, "stave-1@3", Hash);
+//   Slots.finishLoad(*Index, true);
+//   Slots.pin(*Index); ... Slots.unpin(*Index);
 #ifndef GOLDCRESTLINK_PLACEMENT_SLOT_TABLE_H
 #define GOLDCRESTLINK_PLACEMENT_SLOT_TABLE_H
 
@@ -24,7 +26,7 @@
   /// "adapter@version" and its hash.
   std::string Key;
   uint64_t Hash = 0;
-  /// Requests that the engine runs with this adapter.
+  /// Number of requests that the engine runs with this adapter.
   uint32_t Pins = 0;
 };
 
@@ -33,26 +35,30 @@
 public:
   explicit SlotTable(size_t Count) : Slots(Count) {}
 
-  /// The slot that holds or loads \p Hash.
+  /// Index of the slot that holds or loads \p Hash; none if there is no such
+  /// slot.
   std::optional<size_t> find(uint64_t Hash) const;
+  /// True if the adapter version \p Hash is loaded.
   bool ready(uint64_t Hash) const;
-  /// The slot to replace: an empty one, else the unpinned one of least value.
-  /// None if no more than \p Reserve slots could be replaced.
-  std::optional<size_t> victim(Time N, const DemandTable &Demand,
+  /// Index of the slot to replace: an empty slot if there is one, else the
+  /// unpinned slot of least value. None if at most \p Reserve slots could be
+  /// replaced.
+  std::optional<size_t> victim(Time Now, const DemandTable &Demand,
                                size_t Reserve) const;
-  /// Value of the slot that victim() would name; 0 for an empty one and
-  /// infinite if there is none.
-  double victimValue(Time N, const DemandTable &Demand) const;
+  /// Value of the slot that victim() returns with no reserve: 0 for an empty
+  /// slot, infinity if no slot can be replaced.
+  double victimValue(Time Now, const DemandTable &Demand) const;
 
-  /// Precondition: the slot is unpinned and not loading.
-  void beginLoad(size_t I, std::string Key, uint64_t Hash);
+  /// Preconditions: the slot is unpinned and not loading, and no slot holds or
+  /// loads \p Hash.
+  void beginLoad(size_t Index, std::string Key, uint64_t Hash);
   /// Precondition: the slot is loading. A failed load leaves it empty.
-  void finishLoad(size_t I, bool Loaded);
+  void finishLoad(size_t Index, bool Loaded);
   /// Precondition: the slot is ready.
-  void pin(size_t I);
+  void pin(size_t Index);
   /// Precondition: the slot is pinned.
-  void unpin(size_t I);
-  /// Empties all slots after the engine lost them.
+  void unpin(size_t Index);
+  /// Empties all slots, after the engine has lost its adapters.
   void clear();
 
   const std::vector<Slot> &slots() const { return Slots; }
--- a/placement/testing/placement_test.cc
+++ b/placement/testing/placement_test.cc
@@ -1,4 +1,5 @@
-// Slots against a simple oracle, demand, permits and their fallback.
+// Unit tests of the demand table, the load broker and the load planner, and a
+// randomised test of the slot table against an independent count of the pins.
 #include <doctest/doctest.h>
 
 #include "base/random.h"
@@ -12,22 +13,22 @@
 Time at(int64_t Ms) { return Time(Duration(Ms * 1000 + 1)); }
 } // namespace
 
-TEST_CASE("random loads and pins never replace a slot in use") {
+TEST_CASE("a slot in use is never replaced, under random loads and pins") {
   Random R(5);
   SlotTable T(4);
   DemandTable D{DemandTable::Options()};
   std::vector<uint32_t> Pins(4);
   for (int Step = 0; Step < 20000; ++Step) {
-    const Time N = at(Step);
+    const Time Now = at(Step);
     const uint64_t Adapter = 1 + R.below(12);
-    D.record(N, Adapter);
+    D.record(Now, Adapter);
     const auto Found = T.find(Adapter);
     if (Found && T.ready(Adapter) && R.below(2)) {
       T.pin(*Found);
       ++Pins[*Found];
     } else if (!Found) {
       const size_t Reserve = R.below(3);
-      const auto Victim = T.victim(N, D, Reserve);
+      const auto Victim = T.victim(Now, D, Reserve);
       size_t Replaceable = 0;
       for (size_t I = 0; I < 4; ++I)
         Replaceable += Pins[I] == 0 && T.slots()[I].State != SlotState::Loading;
@@ -61,7 +62,7 @@
   }
 }
 
-TEST_CASE("a demand table stays within its bound and forgets the least") {
+TEST_CASE("a full demand table drops the entries of least demand") {
   DemandTable D(DemandTable::Options().setMaxEntries(10));
   for (int I = 0; I < 50; ++I)
     D.record(at(I), 7);
@@ -72,22 +73,22 @@
   CHECK(D.value(at(60 + 120000), 7) < 26);
 }
 
-TEST_CASE("permits keep to the rate, and go to the worthiest wish first") {
+TEST_CASE("permits are granted at the configured rate, by highest priority") {
   LoadBroker B(LoadBroker::Options().setRate(10).setBurst(2), {0.5, 0.2});
   for (uint64_t I = 0; I < 8; ++I)
     B.request(at(0), {"side", I, 1, static_cast<double>(I), true, {}, {}});
   B.request(at(0), {"side", 99, 0, 1, true, {}, {}});
   const auto First = B.grant(at(0));
   REQUIRE(First.size() == 2);
-  CHECK(First[0].Adapter == 99); // Rank 0 has none of its share yet.
+  CHECK(First[0].Adapter == 99); // Rank 0 has not received its share yet.
   CHECK(First[1].Adapter == 7);
   CHECK(B.grant(at(50)).empty());
   CHECK(B.grant(at(101)).size() == 1);
-  B.release(at(101), "side", 99, false); // Not used: its token comes back.
+  B.release(at(101), "side", 99, false); // Not used: its token is returned.
   CHECK(B.grant(at(101)).size() == 1);
 }
 
-TEST_CASE("a wish that is not renewed expires") {
+TEST_CASE("a load request that is not renewed expires") {
   LoadBroker B(LoadBroker::Options().setRate(1).setBurst(1), {0.5});
   B.request(at(0), {"a", 1, 0, 1, true, {}, {}});
   CHECK(B.grant(at(0)).size() == 1);
@@ -96,24 +97,24 @@
   CHECK(B.waiting() == 0);
 }
 
-TEST_CASE("a silent broker is passed over, then the static share serves") {
+TEST_CASE("silent brokers are skipped; without any, the static share is used") {
   LoadPlanner P(LoadPlanner::Options().setStaticRate(2), {"first", "second"});
-  const std::vector<LoadWant> Wants = {{1, "a@1", 0, 1, 1, true}};
-  auto Asks = P.plan(at(0), Wants);
-  REQUIRE(Asks.size() == 1);
-  CHECK(Asks[0].Broker == "first");
+  const std::vector<LoadWant> Needed = {{1, "a@1", 0, 1, 1, true}};
+  auto Requests = P.plan(at(0), Needed);
+  REQUIRE(Requests.size() == 1);
+  CHECK(Requests[0].Broker == "first");
   CHECK_FALSE(P.takeStatic(at(0)));
-  Asks = P.plan(at(500), Wants);
-  REQUIRE(Asks.size() == 1);
-  CHECK(Asks[0].Broker == "second");
-  CHECK(P.plan(at(1000), Wants).empty());
+  Requests = P.plan(at(500), Needed);
+  REQUIRE(Requests.size() == 1);
+  CHECK(Requests[0].Broker == "second");
+  CHECK(P.plan(at(1000), Needed).empty());
   CHECK(P.takeStatic(at(1000)));
   CHECK_FALSE(P.takeStatic(at(1010)));
-  // Both are asked again after a pause.
-  CHECK(P.plan(at(7000), Wants).size() == 1);
+  // Requests are sent again after the backoff.
+  CHECK(P.plan(at(7000), Needed).size() == 1);
 }
 
-TEST_CASE("a permit for what nobody wants any more is not used") {
+TEST_CASE("a permit for an adapter that is not needed any more is not used") {
   LoadPlanner P(LoadPlanner::Options(), {"broker"});
   P.plan(at(0), std::vector<LoadWant>{{1, "a@1", 0, 1, 1, true}});
   P.plan(at(10), {});
