--- a/catalog/catalog.cc
+++ b/catalog/catalog.cc
@@ -1,7 +1,8 @@
-// Each object keeps the revision of its last change, so that a stale list or a
-// late event cannot undo a newer one. Revisions of removed upstreams are kept
-// too; ids are new for each start, so the table is trimmed to the newest
-// MaxRevisions. A look-up of a route scans the routes of one host only.
+// The revision of the last change is kept for each upstream, so that an
+// outdated list or a late event cannot undo a newer change. This includes
+// removed upstreams. Since every start of an upstream has a new id, the
+// revisions of removed upstreams are dropped when the table exceeds
+// MaxRevisions entries. A route look-up scans the routes of one host only.
 #include "catalog/catalog.h"
 
 #include <algorithm>
@@ -25,11 +26,11 @@
     return false;
   Config = std::move(NewConfig);
   ConfigText = std::make_shared<const std::string>(std::move(Text));
-  Newest.Config = Config->Version;
-  ByHost.clear();
+  Current.Config = Config->Version;
+  RoutesByHost.clear();
   for (const RouteSpec &R : Config->Routes)
-    ByHost[R.Host].push_back(&R);
-  for (auto &[Host, List] : ByHost)
+    RoutesByHost[R.Host].push_back(&R);
+  for (auto &[Host, List] : RoutesByHost)
     std::stable_sort(List.begin(), List.end(),
                      [](const RouteSpec *A, const RouteSpec *B) {
                        return A->PathPrefix.size() > B->PathPrefix.size();
@@ -38,37 +39,38 @@
 }
 
 void Catalog::applyUpstreams(
-    Time N, uint64_t Revision,
+    Time Now, uint64_t Revision,
     const std::map<std::string, UpstreamRecord> &Records) {
   for (const auto &[Id, Record] : Records)
-    applyUpstream(N, Revision, Id, &Record);
+    applyUpstream(Now, Revision, Id, &Record);
   std::vector<std::string> Missing;
   for (const auto &[Id, Record] : Upstreams)
     if (!Records.contains(Id))
       Missing.push_back(Id);
   for (const std::string &Id : Missing)
-    applyUpstream(N, Revision, Id, nullptr);
+    applyUpstream(Now, Revision, Id, nullptr);
 }
 
-bool Catalog::applyUpstream(Time N, uint64_t Revision, const std::string &Id,
+bool Catalog::applyUpstream(Time Now, uint64_t Revision, const std::string &Id,
                             const UpstreamRecord *Record) {
   struct Revision &Known = Revisions[Id];
   if (Revision < Known.Seen)
     return false;
   Known.Seen = Revision;
   const auto Old = Upstreams.find(Id);
-  const bool Same = Record ? Old != Upstreams.end() && Old->second == *Record &&
-                                 !Absent.contains(Id)
-                           : Old == Upstreams.end() && Known.Changed > 0;
-  if (Same)
+  const bool Unchanged = Record ? Old != Upstreams.end() &&
+                                      Old->second == *Record &&
+                                      !DeferredRemovals.contains(Id)
+                                : Old == Upstreams.end() && Known.Changed > 0;
+  if (Unchanged)
     return false;
   Known.Changed = Revision;
-  Newest.Upstreams = std::max(Newest.Upstreams, Revision);
+  Current.Upstreams = std::max(Current.Upstreams, Revision);
   if (Record) {
-    Absent.erase(Id);
+    DeferredRemovals.erase(Id);
     Upstreams[Id] = *Record;
   } else {
-    remove(N, Id);
+    remove(Now, Id);
   }
   trimRevisions();
   return true;
@@ -82,46 +84,46 @@
   });
 }
 
-void Catalog::remove(Time N, const std::string &Id) {
-  if (N < GraceUntil && Upstreams.contains(Id))
-    Absent[Id] = GraceUntil;
+void Catalog::remove(Time Now, const std::string &Id) {
+  if (Now < GraceUntil && Upstreams.contains(Id))
+    DeferredRemovals[Id] = GraceUntil;
   else
     Upstreams.erase(Id);
 }
 
-bool Catalog::applyRelease(const WeightRelease &R) {
-  WeightRelease &Known = Releases[releaseKey(R.Model, R.Adapter)];
-  if (R.Version <= Known.Version)
+bool Catalog::applyRelease(const WeightRelease &Release) {
+  WeightRelease &Known = Releases[releaseKey(Release.Model, Release.Adapter)];
+  if (Release.Version <= Known.Version)
     return false;
-  Known = R;
-  Newest.Releases = std::max(Newest.Releases, R.Revision);
+  Known = Release;
+  Current.Releases = std::max(Current.Releases, Release.Revision);
   return true;
 }
 
-bool Catalog::applyBeliefs(Time N, const BeliefUpdate &U) {
+bool Catalog::applyBeliefs(Time Now, const BeliefUpdate &Update) {
   bool Changed = false;
-  for (const UpstreamChange &C : U.Upstreams)
+  for (const UpstreamChange &C : Update.Upstreams)
     Changed |=
-        applyUpstream(N, C.Revision, C.Id, C.Record ? &*C.Record : nullptr);
-  for (const WeightRelease &R : U.Releases)
+        applyUpstream(Now, C.Revision, C.Id, C.Record ? &*C.Record : nullptr);
+  for (const WeightRelease &R : Update.Releases)
     Changed |= applyRelease(R);
-  // All that the other process knew up to these is known here now.
-  Newest.Upstreams = std::max(Newest.Upstreams, U.AsOf.Upstreams);
-  Newest.Releases = std::max(Newest.Releases, U.AsOf.Releases);
+  // All changes up to the sender's revisions are known now.
+  Current.Upstreams = std::max(Current.Upstreams, Update.AsOf.Upstreams);
+  Current.Releases = std::max(Current.Releases, Update.AsOf.Releases);
   return Changed;
 }
 
 BeliefUpdate Catalog::since(const BeliefRevisions &Known) const {
   BeliefUpdate Out;
-  Out.AsOf = Newest;
-  if (ConfigText && Newest.Config > Known.Config)
+  Out.AsOf = Current;
+  if (ConfigText && Current.Config > Known.Config)
     Out.ConfigText = *ConfigText;
   for (const auto &[Id, R] : Revisions) {
     if (R.Changed <= Known.Upstreams)
       continue;
     UpstreamChange Change{Id, R.Changed, std::nullopt};
     if (const auto It = Upstreams.find(Id);
-        It != Upstreams.end() && !Absent.contains(Id))
+        It != Upstreams.end() && !DeferredRemovals.contains(Id))
       Change.Record = It->second;
     Out.Upstreams.push_back(std::move(Change));
   }
@@ -131,17 +133,19 @@
   return Out;
 }
 
-void Catalog::onStoreRegained(Time N) { GraceUntil = N + Opts.absenceGrace(); }
+void Catalog::onStoreRegained(Time Now) {
+  GraceUntil = Now + Opts.absenceGrace();
+}
 
-bool Catalog::onTimer(Time N) {
+bool Catalog::onTimer(Time Now) {
   bool Changed = false;
-  for (auto It = Absent.begin(); It != Absent.end();) {
-    if (N < It->second) {
+  for (auto It = DeferredRemovals.begin(); It != DeferredRemovals.end();) {
+    if (Now < It->second) {
       ++It;
       continue;
     }
     Upstreams.erase(It->first);
-    It = Absent.erase(It);
+    It = DeferredRemovals.erase(It);
     Changed = true;
   }
   return Changed;
@@ -149,8 +153,8 @@
 
 const RouteSpec *Catalog::route(std::string_view Host,
                                 std::string_view Path) const {
-  const auto It = ByHost.find(Host);
-  if (It == ByHost.end())
+  const auto It = RoutesByHost.find(Host);
+  if (It == RoutesByHost.end())
     return nullptr;
   for (const RouteSpec *R : It->second)
     if (Path.starts_with(R->PathPrefix))
--- a/catalog/catalog.h
+++ b/catalog/catalog.h
@@ -1,12 +1,14 @@
-// What a process believes about the deployment: configuration, upstreams and
-// weight releases. Observations from the store or from peers are applied in
-// any order; belief never steps back to an older revision.
+// What a process knows about the deployment: the configuration, the upstreams
+// and the announced weight versions. Updates from the store and from other
+// processes may arrive in any order; the state of an object never goes back to
+// an older revision.
 //
-//   Catalog C;
-//   C.applyConfig(Revision, Config);
-//   C.applyUpstreams(N, Revision, Records);       // a whole list
-//   C.applyUpstream(N, Revision, Id, &Record);    // one change; null: removed
-//   const RouteSpec *R = C.route("host.example", "/path/x");
+//   Catalog State;
+//   State.applyConfig(Config, ConfigText);
+//   State.applyUpstreams(Now, Revision, Records);      // a complete list
+//   State.applyUpstream(Now, Revision, Id, &Record);   // a new or changed one
+//   State.applyUpstream(Now, Revision, Id, nullptr);   // removed
+//   const RouteSpec *Route = State.route("host.example", "/path/x");
 #ifndef GOLDCRESTLINK_CATALOG_CATALOG_H
 #define GOLDCRESTLINK_CATALOG_CATALOG_H
 
@@ -23,47 +25,50 @@
 
 namespace goldcrestlink {
 
-/// How new each part of a process's belief is. Two processes with equal
-/// revisions believe the same.
+/// The revision of each part of a process's catalog state. Two processes with
+/// equal revisions have the same catalog state.
 struct BeliefRevisions {
   /// Version of the configuration.
   uint64_t Config = 0;
-  /// Store revisions up to which changes are known.
+  /// Store revisions up to which all changes are known.
   uint64_t Upstreams = 0;
   uint64_t Releases = 0;
 
   bool operator==(const BeliefRevisions &) const = default;
-  /// True if \p Other knows something that this does not.
+  /// True if \p Other is newer in any part.
   bool lacks(const BeliefRevisions &Other) const {
     return Config < Other.Config || Upstreams < Other.Upstreams ||
            Releases < Other.Releases;
   }
 };
 
-/// The last change of one upstream; no record: it is gone.
+/// The last change of one upstream. Without a record, the upstream was removed.
 struct UpstreamChange {
   std::string Id;
   uint64_t Revision = 0;
   std::optional<UpstreamRecord> Record;
 };
 
-/// What one process tells another that knows less.
+/// A catalog update that one process sends to another whose state is older.
 struct BeliefUpdate {
-  /// The configuration as the store holds it; empty: no newer one.
+  /// The configuration in its encoded form, as the store holds it; empty if
+  /// there is no newer one.
   std::string ConfigText;
   std::vector<UpstreamChange> Upstreams;
   std::vector<WeightRelease> Releases;
+  /// The sender's revisions.
   BeliefRevisions AsOf;
 };
 
-/// Not thread-safe. Copies are cheap enough to hand to another thread as a
-/// snapshot: records are shared.
+/// Not thread-safe. The configuration is shared between copies, so that a copy
+/// is cheap enough to be passed to another thread as a snapshot.
 class Catalog {
 public:
   class Options {
   public:
-    /// How long entries that were missing when the store came back are still
-    /// believed; the platform says lapsed entries return within two seconds.
+    /// Grace period during which upstreams that the store does not list after
+    /// an outage are kept. The platform guarantees that expired records are
+    /// back within 2 s.
     Duration absenceGrace() const { return AbsenceGrace; }
     Options &setAbsenceGrace(Duration D) {
       AbsenceGrace = D;
@@ -79,27 +84,29 @@
 
   // Commands.
 
-  /// Takes over \p Config, whose encoded form is \p Text, unless one of the
-  /// same or a newer version is known; true if it was taken.
+  /// Applies \p Config, whose encoded form is \p Text, unless a configuration
+  /// of the same or a newer version is known. Returns true if it was applied.
   bool applyConfig(std::shared_ptr<const DeploymentConfig> Config,
                    std::string Text);
-  /// A whole list as of \p Revision; upstreams that it lacks are removed.
-  void applyUpstreams(Time N, uint64_t Revision,
+  /// Applies a complete list as of \p Revision. Upstreams that are not in it
+  /// are removed.
+  void applyUpstreams(Time Now, uint64_t Revision,
                       const std::map<std::string, UpstreamRecord> &Records);
-  /// One change as of \p Revision. \p Record null: removed, or not a record
-  /// that names an upstream to use.
-  /// True if anything changed but the revision.
-  bool applyUpstream(Time N, uint64_t Revision, const std::string &Id,
+  /// Applies one change as of \p Revision. \p Record is null if the upstream
+  /// was removed or its record does not describe a usable upstream. Returns
+  /// true if anything but the revision changed.
+  bool applyUpstream(Time Now, uint64_t Revision, const std::string &Id,
                      const UpstreamRecord *Record);
-  /// True if the version is newer than what was known.
-  bool applyRelease(const WeightRelease &R);
-  /// Upstreams and releases that another process knows; true if any is new.
-  /// Its configuration is decoded and applied by the caller.
-  bool applyBeliefs(Time N, const BeliefUpdate &U);
-  /// The store could not be reached from here until now.
-  void onStoreRegained(Time N);
-  /// Drops upstreams whose grace is over. True if any was dropped.
-  bool onTimer(Time N);
+  /// Returns true if the version is newer than the known one.
+  bool applyRelease(const WeightRelease &Release);
+  /// Applies the upstreams and releases of another process's update. Returns
+  /// true if any is new. The caller decodes the configuration and applies it.
+  bool applyBeliefs(Time Now, const BeliefUpdate &Update);
+  /// The store is reachable again after an outage; starts the grace period.
+  void onStoreRegained(Time Now);
+  /// Removes upstreams whose grace period has ended. Returns true if any was
+  /// removed.
+  bool onTimer(Time Now);
 
   // Queries.
 
@@ -111,16 +118,16 @@
   const RouteSpec *route(std::string_view Host, std::string_view Path) const;
   /// Null if the configuration has no such service.
   const ServiceSpec *service(std::string_view Name) const;
-  /// Newest announced version; 0 if none was announced.
+  /// The newest announced version; 0 if none was announced.
   uint64_t releasedVersion(std::string_view Model,
                            std::string_view Adapter) const;
   const std::map<std::string, UpstreamRecord> &upstreams() const {
     return Upstreams;
   }
-  /// Upstreams are kept that the store does not list at present.
-  bool hasAbsent() const { return !Absent.empty(); }
-  const BeliefRevisions &revisions() const { return Newest; }
-  /// What a process with \p Known lacks.
+  /// True while upstreams are kept that the store does not list.
+  bool hasAbsent() const { return !DeferredRemovals.empty(); }
+  const BeliefRevisions &revisions() const { return Current; }
+  /// The update that brings a process with the revisions \p Known up to date.
   BeliefUpdate since(const BeliefRevisions &Known) const;
   const std::map<std::string, WeightRelease, std::less<>> &releases() const {
     return Releases;
@@ -128,26 +135,29 @@
 
 private:
   struct Revision {
-    // Of the last observation, and of the last one that changed something.
+    // Revision of the last update received.
     uint64_t Seen = 0;
+    // Revision of the last update that changed the upstream.
     uint64_t Changed = 0;
   };
 
-  void remove(Time N, const std::string &Id);
+  void remove(Time Now, const std::string &Id);
   void trimRevisions();
 
   Options Opts;
   std::shared_ptr<const DeploymentConfig> Config;
   // Routes of each host, longest prefix first.
-  std::map<std::string, std::vector<const RouteSpec *>, std::less<>> ByHost;
+  std::map<std::string, std::vector<const RouteSpec *>, std::less<>>
+      RoutesByHost;
   std::map<std::string, UpstreamRecord> Upstreams;
-  // Revision of the last change seen per upstream, removals included.
+  // Revisions of each upstream, removed ones included.
   std::map<std::string, Revision> Revisions;
-  BeliefRevisions Newest;
+  BeliefRevisions Current;
   std::shared_ptr<const std::string> ConfigText;
   std::map<std::string, WeightRelease, std::less<>> Releases;
-  // Removals that are held back after an outage of the store, and until when.
-  std::map<std::string, Time> Absent;
+  // Removals deferred after an outage of the store, with the end of the grace
+  // period.
+  std::map<std::string, Time> DeferredRemovals;
   Time GraceUntil{};
 };
 
--- a/catalog/testing/catalog_test.cc
+++ b/catalog/testing/catalog_test.cc
@@ -1,4 +1,5 @@
-// What a process believes never steps back, whatever order news arrives in.
+// The catalog state never goes back to an older revision, in whatever order
+// updates arrive.
 #include <doctest/doctest.h>
 
 #include "catalog/catalog.h"
@@ -31,7 +32,7 @@
   return C;
 }
 
-// One observation of upstream "u".
+// One update of upstream "u".
 struct Step {
   uint64_t Revision;
   enum { Ready, Draining, Removed, ListedWithout } What;
@@ -40,17 +41,17 @@
 struct OrderRow {
   const char *Name;
   std::vector<Step> Steps;
-  // Of "u" afterwards: absent, ready or draining.
+  // State of "u" after all steps: absent, ready or draining.
   const char *Expected;
 };
 
 void apply(Catalog &C, const Step &S) {
-  const UpstreamRecord Up = record("u", S.What == Step::Draining);
+  const UpstreamRecord Record = record("u", S.What == Step::Draining);
   if (S.What == Step::ListedWithout)
     C.applyUpstreams(at(0), S.Revision, {{"v", record("v")}});
   else
     C.applyUpstream(at(0), S.Revision, "u",
-                    S.What == Step::Removed ? nullptr : &Up);
+                    S.What == Step::Removed ? nullptr : &Record);
 }
 
 const char *stateOf(const Catalog &C, const std::string &Id) {
@@ -62,7 +63,7 @@
 
 } // namespace
 
-TEST_CASE("older news of an upstream never replaces newer news") {
+TEST_CASE("an older update of an upstream never replaces a newer one") {
   const OrderRow Rows[] = {
       {"ready", {{5, Step::Ready}}, "ready"},
       {"late ready after draining",
@@ -71,13 +72,15 @@
       {"late ready after removal",
        {{9, Step::Removed}, {5, Step::Ready}},
        "absent"},
-      {"stale list lacks it",
+      {"missing from an older list",
        {{9, Step::Ready}, {5, Step::ListedWithout}},
        "ready"},
-      {"newer list lacks it",
+      {"missing from a newer list",
        {{5, Step::Ready}, {9, Step::ListedWithout}},
        "absent"},
-      {"comes back", {{5, Step::Removed}, {9, Step::Ready}}, "ready"},
+      {"registered again after removal",
+       {{5, Step::Removed}, {9, Step::Ready}},
+       "ready"},
   };
   for (const OrderRow &Row : Rows) {
     CAPTURE(Row.Name);
@@ -88,34 +91,34 @@
   }
 }
 
-TEST_CASE("after an outage, missing upstreams are believed for the grace") {
+TEST_CASE("after an outage, missing upstreams are kept for the grace period") {
   Catalog C;
-  const UpstreamRecord Up = record("u");
-  C.applyUpstream(at(0), 5, "u", &Up);
+  const UpstreamRecord Record = record("u");
+  C.applyUpstream(at(0), 5, "u", &Record);
   C.onStoreRegained(at(1000));
   C.applyUpstream(at(1100), 8, "u", nullptr);
   CHECK(std::string(stateOf(C, "u")) == "ready");
   CHECK_FALSE(C.onTimer(at(3000)));
   CHECK(C.onTimer(at(3300)));
   CHECK(std::string(stateOf(C, "u")) == "absent");
-  // A removal long after the outage counts at once.
-  C.applyUpstream(at(4000), 10, "u", &Up);
+  // A removal after the grace period takes effect at once.
+  C.applyUpstream(at(4000), 10, "u", &Record);
   C.applyUpstream(at(5000), 11, "u", nullptr);
   CHECK(std::string(stateOf(C, "u")) == "absent");
 }
 
-TEST_CASE("an upstream that returns within the grace stays") {
+TEST_CASE("an upstream that is listed again within the grace period is kept") {
   Catalog C;
-  const UpstreamRecord Up = record("u");
-  C.applyUpstream(at(0), 5, "u", &Up);
+  const UpstreamRecord Record = record("u");
+  C.applyUpstream(at(0), 5, "u", &Record);
   C.onStoreRegained(at(1000));
   C.applyUpstream(at(1100), 8, "u", nullptr);
-  C.applyUpstream(at(1900), 9, "u", &Up);
+  C.applyUpstream(at(1900), 9, "u", &Record);
   C.onTimer(at(9000));
   CHECK(std::string(stateOf(C, "u")) == "ready");
 }
 
-TEST_CASE("a configuration never goes back") {
+TEST_CASE("a configuration is never replaced by an older version") {
   Catalog C;
   CHECK(C.applyConfig(config(7), "seven"));
   CHECK_FALSE(C.applyConfig(config(7), "seven again"));
@@ -144,17 +147,17 @@
   }
 }
 
-TEST_CASE("processes that exchange what the other lacks come to agree") {
+TEST_CASE("a process that applies another's update lacks none of its changes") {
   Catalog A;
   Catalog B;
-  const UpstreamRecord Up = record("u");
-  const UpstreamRecord Leaving = record("u", true);
-  const UpstreamRecord Other = record("v");
-  A.applyUpstream(at(0), 5, "u", &Up);
-  A.applyUpstream(at(0), 9, "u", &Leaving);
+  const UpstreamRecord Record = record("u");
+  const UpstreamRecord DrainingRecord = record("u", true);
+  const UpstreamRecord OtherRecord = record("v");
+  A.applyUpstream(at(0), 5, "u", &Record);
+  A.applyUpstream(at(0), 9, "u", &DrainingRecord);
   A.applyRelease({"m", "a1", 3, 12});
-  B.applyUpstream(at(0), 5, "u", &Up);
-  B.applyUpstream(at(0), 6, "v", &Other);
+  B.applyUpstream(at(0), 5, "u", &Record);
+  B.applyUpstream(at(0), 6, "v", &OtherRecord);
   B.applyUpstream(at(0), 7, "v", nullptr);
   REQUIRE(B.revisions().lacks(A.revisions()));
   CHECK(B.applyBeliefs(at(1), A.since(B.revisions())));
@@ -162,15 +165,15 @@
   CHECK(std::string(stateOf(B, "u")) == "draining");
   CHECK(std::string(stateOf(B, "v")) == "absent");
   CHECK(B.releasedVersion("m", "a1") == 3);
-  // Nothing is left to say.
+  // There is nothing left to send.
   CHECK(A.since(B.revisions()).Upstreams.empty());
   CHECK(A.since(B.revisions()).Releases.empty());
 }
 
-TEST_CASE("news without a change does not make others ask") {
+TEST_CASE("an update without a change does not raise the revision") {
   Catalog C;
-  const UpstreamRecord Up = record("u");
-  CHECK(C.applyUpstream(at(0), 5, "u", &Up));
-  CHECK_FALSE(C.applyUpstream(at(0), 8, "u", &Up));
+  const UpstreamRecord Record = record("u");
+  CHECK(C.applyUpstream(at(0), 5, "u", &Record));
+  CHECK_FALSE(C.applyUpstream(at(0), 8, "u", &Record));
   CHECK(C.revisions().Upstreams == 5);
 }
--- a/catalog/types.h
+++ b/catalog/types.h
@@ -1,7 +1,11 @@
-// What the platform says about a deployment, as plain values: routes, services,
-// upstreams that run, and newest adapter versions. platform/ decodes the
-// records of the platform's store into these types; nothing here names a field
-// of its protocol.
+// A deployment as the platform describes it, in plain value types: routes,
+// services, running upstreams and the newest adapter versions. platform/
+// decodes the records of the platform's store into these types, which do not
+// depend on its protocol.
+//
+//   RouteSpec Route;
+//   Route.PathPrefix = "/v1/";
+//   Route.Targets = {{"engines", 1}};
 #ifndef GOLDCRESTLINK_CATALOG_TYPES_H
 #define GOLDCRESTLINK_CATALOG_TYPES_H
 
@@ -14,23 +18,25 @@
 
 namespace goldcrestlink {
 
-/// What may be repeated on a route.
+/// Whether a request of a route may be sent again.
 enum class Repeatability {
-  /// May run more than once per caller's attempt.
+  /// A request may run more than once per caller's attempt.
   Idempotent,
-  /// At most one run per caller's attempt.
+  /// A request may run at most once per caller's attempt.
   AtMostOnce,
-  /// A stream that may go on at another upstream after its last event.
+  /// A stream, which another upstream may continue after the last event
+  /// received.
   ResumableStream
 };
 
-/// One share of a route's traffic.
+/// A service that receives a share of a route's traffic.
 struct RouteTarget {
   std::string Service;
+  /// The share, relative to the sum of the route's weights.
   double Weight = 1;
 };
 
-/// Where requests of one host and path prefix go, and within which bounds.
+/// The targets and limits for requests of one host and path prefix.
 struct RouteSpec {
   std::string Name;
   std::string Host;
@@ -38,13 +44,14 @@
   std::string PathPrefix;
   Repeatability Repeat = Repeatability::AtMostOnce;
   bool Streaming = false;
-  /// The longest time that a caller may be kept without a final answer.
+  /// The maximum time until the caller gets a final answer.
   Duration Timeout = std::chrono::seconds(30);
-  /// Answers within this time earn full credit (streams: the first event).
+  /// Latency objective: answers within this time count in full. For streams,
+  /// the time to the first event.
   Duration Objective = std::chrono::seconds(1);
   /// 0 is the most urgent.
   uint32_t Rank = 0;
-  /// The most upstreams that one caller's attempt may be sent to.
+  /// The maximum number of upstreams that one caller's attempt may be sent to.
   uint32_t MaxAttempts = 1;
   std::vector<RouteTarget> Targets;
 };
@@ -53,17 +60,19 @@
 struct ModelSpec {
   std::string Name;
   double SizeMb = 0;
+  /// Size of each adapter.
   double AdapterMb = 0;
-  /// From the weight store.
+  /// Duration of a load from the weight store.
   Duration LoadTime = std::chrono::seconds(1);
 };
 
-/// What is the same for all engines of one service.
+/// The properties that all engines of one service share.
 struct EngineSpec {
+  /// Maximum number of requests that run at the same time.
   uint32_t BatchSlots = 1;
   uint64_t MemoryTokens = 0;
   uint32_t AdapterSlots = 0;
-  /// Room for base models and adapters together.
+  /// Memory for base models and adapters together.
   double WeightsMb = 0;
   std::vector<ModelSpec> Models;
 };
@@ -76,15 +85,16 @@
   EngineSpec Engine;
 };
 
-/// Bounds on what a caller may send, and how slowly.
+/// Size and time limits for callers' requests.
 struct CallerLimits {
   size_t HeaderBytes = 16 * 1024;
   size_t BodyBytes = 4 * 1024 * 1024;
+  /// Maximum time until a request's header is complete.
   Duration HeaderTime = std::chrono::seconds(3);
   Duration IdleTime = std::chrono::seconds(15);
 };
 
-/// One whole accepted configuration.
+/// A complete, accepted configuration.
 struct DeploymentConfig {
   uint64_t Version = 0;
   std::vector<RouteSpec> Routes;
@@ -92,7 +102,8 @@
   CallerLimits Limits;
 };
 
-/// One running incarnation of an upstream, as it registered itself.
+/// One incarnation of an upstream, from a start to its end, as it registered
+/// itself in the store.
 struct UpstreamRecord {
   std::string Id;
   std::string Service;
@@ -110,7 +121,7 @@
   std::string Model;
   std::string Adapter;
   uint64_t Version = 0;
-  /// Store revision of the announcement; 0 if it did not come from there.
+  /// Store revision of the announcement; 0 if it did not come from the store.
   uint64_t Revision = 0;
 };
 
