--- a/base/finding.h
+++ b/base/finding.h
@@ -1,5 +1,5 @@
-// Findings: problems in operators' files, collected with their place and
-// reported together instead of stopping at the first.
+// Problems in operators' files, collected with their location and reported
+// together, instead of stopping at the first one.
 //
 //   FindingList Findings;
 //   Findings.add({"adapters.ini", 12}, "rank 'now' is not declared");
@@ -13,29 +13,28 @@
 
 namespace goldcrestlink {
 
-/// A place in an operator's file. Line 0 means the file as a whole.
+/// A location in an operator's file. Line 0 stands for the whole file.
 struct Place {
   std::string File;
   int Line = 0;
 };
 
-/// One problem and where it is.
+/// One problem and its location.
 struct Finding {
   Place Where;
   std::string Message;
 };
 
-/// Findings in the order in which they were met. Not thread-safe.
+/// A list of findings in the order in which they were added. Not thread-safe.
 class FindingList {
 public:
-  /// Records one problem.
   void add(Place Where, std::string Message) {
     Items.push_back({std::move(Where), std::move(Message)});
   }
   bool empty() const { return Items.empty(); }
   const std::vector<Finding> &items() const { return Items; }
 
-  /// One line per finding, as "file:line: message".
+  /// Returns one line per finding, as "file:line: message".
   std::string text() const {
     std::string Out;
     for (const Finding &F : Items)
@@ -48,7 +47,7 @@
   std::vector<Finding> Items;
 };
 
-/// Thrown when findings make a set of files unusable.
+/// Thrown when a set of files cannot be used because of its findings.
 class FindingError : public std::runtime_error {
 public:
   explicit FindingError(const FindingList &List)
--- a/base/hash.cc
+++ b/base/hash.cc
@@ -1,4 +1,5 @@
-// xxHash's XXH3 variants; each call is linear in its input.
+// Uses the XXH3 variants of xxHash. The cost is linear in the size of the
+// input.
 #include "base/hash.h"
 
 #include <cstdio>
@@ -12,8 +13,8 @@
   return XXH3_64bits_withSeed(Data.data(), Data.size(), Seed);
 }
 
-uint64_t mixHash(uint64_t A, uint64_t B) {
-  const uint64_t Pair[2] = {A, B};
+uint64_t mixHash(uint64_t First, uint64_t Second) {
+  const uint64_t Pair[2] = {First, Second};
   return XXH3_64bits(Pair, sizeof(Pair));
 }
 
--- a/base/hash.h
+++ b/base/hash.h
@@ -1,5 +1,7 @@
-// 64-bit hashes by xxHash, used for rendezvous scores, chunk boundaries and
-// request fingerprints. Not for secrets.
+// Hashes by xxHash, used for rendezvous scores, chunk boundaries, request
+// fingerprints and content addresses. Not cryptographic.
+//
+//   uint64_t Score = mixHash(hash64(Key), hash64(UpstreamId));
 #ifndef GOLDCRESTLINK_BASE_HASH_H
 #define GOLDCRESTLINK_BASE_HASH_H
 
@@ -9,13 +11,14 @@
 
 namespace goldcrestlink {
 
-/// Hash of \p Data. Thread-safe.
+/// 64-bit hash of \p Data. Thread-safe.
 uint64_t hash64(std::string_view Data, uint64_t Seed = 0);
 
-/// Combines two hashes; not commutative. Thread-safe.
-uint64_t mixHash(uint64_t A, uint64_t B);
+/// Combines two hashes; the order of the arguments matters. Thread-safe.
+uint64_t mixHash(uint64_t First, uint64_t Second);
 
-/// Hex digest of 128 bits, for content addresses. Thread-safe.
+/// 128-bit hash of \p Data as 32 hexadecimal digits, for content addresses.
+/// Thread-safe.
 std::string contentHash(std::string_view Data);
 
 } // namespace goldcrestlink
--- a/base/line_class.h
+++ b/base/line_class.h
@@ -1,4 +1,5 @@
-// How much a line of the log matters when there are too many.
+// The class of a log line decides which lines are dropped when there are too
+// many.
 //
 //   Log.push(LineClass::Kept, "end id=r1 outcome=no_room ...");
 #ifndef GOLDCRESTLINK_BASE_LINE_CLASS_H
@@ -6,8 +7,8 @@
 
 namespace goldcrestlink {
 
-/// Kept lines tell of failures, refusals and changes of belief; routine ones
-/// of work that goes well, and are dropped first.
+/// Kept: failures, refusals and changes of the catalog state. Routine:
+/// successful work; these lines are dropped first.
 enum class LineClass { Routine, Kept };
 
 } // namespace goldcrestlink
--- a/base/random.h
+++ b/base/random.h
@@ -1,5 +1,5 @@
-// A small deterministic random source, seeded from outside so that a state
-// machine's run can be repeated.
+// A small deterministic random number generator. The caller provides the seed,
+// so that the run of a state machine can be reproduced.
 //
 //   Random R(Seed);
 //   size_t I = R.below(Candidates.size());
@@ -12,12 +12,12 @@
 
 namespace goldcrestlink {
 
-/// SplitMix64 generator. Not thread-safe; each owner has its own.
+/// SplitMix64 generator. Not thread-safe; each owner uses its own generator.
 class Random {
 public:
   explicit Random(uint64_t Seed) : State(Seed) {}
 
-  /// The next 64 random bits.
+  /// Returns the next 64 random bits.
   uint64_t next() {
     State += 0x9e3779b97f4a7c15ULL;
     uint64_t Z = State;
@@ -26,20 +26,21 @@
     return Z ^ (Z >> 31);
   }
 
-  /// A number in [0, Bound). Precondition: Bound > 0.
+  /// Returns a number in [0, Bound). Precondition: Bound > 0.
   uint64_t below(uint64_t Bound) {
     assert(Bound > 0);
     return next() % Bound;
   }
 
-  /// A number in [0, 1).
+  /// Returns a number in [0, 1).
   double unit() { return static_cast<double>(next() >> 11) * 0x1.0p-53; }
 
 private:
   uint64_t State;
 };
 
-/// A seed that differs between processes and incarnations. Thread-safe.
+/// A non-deterministic seed, different for each start of each process.
+/// Thread-safe.
 inline uint64_t freshSeed() {
   std::random_device Device;
   return (static_cast<uint64_t>(Device()) << 32) | Device();
--- a/base/refusal.cc
+++ b/base/refusal.cc
@@ -1,5 +1,5 @@
-// One table holds name and HTTP status per code; look-ups scan it, bounded by
-// the number of codes.
+// One table holds the name and the HTTP status of each code. A look-up scans
+// the table, so its cost is bounded by the number of codes.
 #include "base/refusal.h"
 
 #include <array>
@@ -48,16 +48,16 @@
     {Code::StaleFencing, "stale_fencing", 503},
 }};
 
-const CodeRow &rowOf(Code C) {
+const CodeRow &rowOf(Code Id) {
   for (const CodeRow &Row : Rows)
-    if (Row.Id == C)
+    if (Row.Id == Id)
       return Row;
   return Rows[0];
 }
 
 } // namespace
 
-std::string_view codeName(Code C) { return rowOf(C).Name; }
+std::string_view codeName(Code Id) { return rowOf(Id).Name; }
 
 Code codeFromName(std::string_view Name) {
   for (const CodeRow &Row : Rows)
@@ -66,12 +66,12 @@
   return Code::UpstreamError;
 }
 
-std::string_view outcomeName(Outcome O) {
+std::string_view outcomeName(Outcome Known) {
   static constexpr std::array<std::string_view, 4> Names = {"none", "not_run",
                                                             "ran", "unknown"};
-  return Names[static_cast<size_t>(O)];
+  return Names[static_cast<size_t>(Known)];
 }
 
-unsigned httpStatus(Code C) { return rowOf(C).Status; }
+unsigned httpStatus(Code Id) { return rowOf(Id).Status; }
 
 } // namespace goldcrestlink
--- a/base/refusal.h
+++ b/base/refusal.h
@@ -1,5 +1,9 @@
-// The stable codes of refusals and failures, and what each says about whether
-// the request ran. Callers program against these names; they never change.
+// The codes of refusals and failures, and what is known about whether the
+// request ran. The names of both are part of the interface to callers and never
+// change.
+//
+//   codeName(Code::Overloaded);     // "overloaded"
+//   httpStatus(Code::Overloaded);   // 429
 #ifndef GOLDCRESTLINK_BASE_REFUSAL_H
 #define GOLDCRESTLINK_BASE_REFUSAL_H
 
@@ -46,18 +50,18 @@
   StaleFencing,
 };
 
-/// The stable name of \p C, as in the JSON body of a refusal. Thread-safe.
-std::string_view codeName(Code C);
+/// The stable name of \p Id, as in the JSON body of a refusal. Thread-safe.
+std::string_view codeName(Code Id);
 
 /// The code named \p Name, or Code::UpstreamError for an unknown name.
 /// Thread-safe.
 Code codeFromName(std::string_view Name);
 
 /// "not_run", "ran", "unknown" or "none". Thread-safe.
-std::string_view outcomeName(Outcome O);
+std::string_view outcomeName(Outcome Known);
 
-/// The HTTP status with which a caller is told of \p C. Thread-safe.
-unsigned httpStatus(Code C);
+/// The HTTP status of the answer that reports \p Id to a caller. Thread-safe.
+unsigned httpStatus(Code Id);
 
 } // namespace goldcrestlink
 
