--- a/membership/cell_watchers.h
+++ b/membership/cell_watchers.h
@@ -1,5 +1,9 @@
-// Which sides of a cell talk to the platform for all: they watch the
-// configuration and the list of instances, and the first writes the status.
+// Selects the sides that watch the platform on behalf of all processes of a
+// cell, so that not every process does. Each watcher watches the configuration
+// and the list of instances; the first also writes the status of the cell.
+//
+//   for (const UpstreamDecl *Side : cellWatchers(Config, Cell))
+//     IsWatcher |= Side->Name == OwnName;
 #ifndef GOLDCRESTLINK_MEMBERSHIP_CELL_WATCHERS_H
 #define GOLDCRESTLINK_MEMBERSHIP_CELL_WATCHERS_H
 
@@ -10,9 +14,10 @@
 
 namespace goldcrestlink {
 
-/// The watchers of \p Cell, first choice first. Every process computes the
-/// same ones from the same declarations. Thread-safe.
-std::vector<const UpstreamDecl *> cellWatchers(const Declarations &D,
+/// The watchers of \p Cell in order of preference. The result depends on the
+/// declarations only, so every process computes the same one. The pointers are
+/// valid as long as \p Config. Thread-safe.
+std::vector<const UpstreamDecl *> cellWatchers(const Declarations &Config,
                                                std::string_view Cell);
 
 } // namespace goldcrestlink
--- a/membership/shard_lease.cc
+++ b/membership/shard_lease.cc
@@ -1,7 +1,8 @@
-// Each renewal reads the table, changes it and writes it back on condition of
-// its version, so members never overwrite each other. Work per renewal is
-// linear in members and shards. A member is taken out when its renewal count
-// has not moved for a lease and a margin, by this side's steady clock.
+// Each renewal reads the table, changes it and writes it back on the condition
+// that its version has not changed, so members never overwrite each other's
+// changes. The cost of a renewal is linear in the number of members and shards.
+// A member is removed when its renewal count has not changed for the length of
+// a lease plus the margin, by this side's steady clock.
 #include "membership/shard_lease.h"
 
 #include <algorithm>
@@ -9,138 +10,146 @@
 namespace goldcrestlink {
 
 namespace {
-constexpr Duration RetryPause = std::chrono::milliseconds(200);
-constexpr Duration JoinGrace = std::chrono::seconds(3);
-// While shards have no owner, the table is looked at this often.
+constexpr Duration RetryInterval = std::chrono::milliseconds(200);
+// For this long after the start, every declared side counts as a member, so
+// that the first sides to start do not take the shards of the others.
+constexpr Duration StartupPeriod = std::chrono::seconds(3);
+// While some shards have no owner, the table is read and written this often.
 constexpr Duration UnsettledInterval = std::chrono::milliseconds(500);
 } // namespace
 
-ShardLease::ShardLease(Options O, std::string Name, uint64_t FromIncarnation)
-    : Limits(O), Side(std::move(Name)), Incarnation(FromIncarnation) {}
+ShardLease::ShardLease(Options O, std::string Name, uint64_t ProcessIncarnation)
+    : Limits(O), Side(std::move(Name)), Incarnation(ProcessIncarnation) {}
 
-void ShardLease::onGone(Time N, const std::set<std::string> &Gone) {
-  std::erase_if(GoneSince, [&](const auto &G) { return !Gone.count(G.first); });
+void ShardLease::onGone(Time Now, const std::set<std::string> &Gone) {
+  std::erase_if(GoneSince,
+                [&](const auto &Absent) { return !Gone.count(Absent.first); });
   for (const std::string &Name : Gone)
-    GoneSince.try_emplace(Name, N);
+    GoneSince.try_emplace(Name, Now);
 }
 
-void ShardLease::onFailed(Time N) { NextRenewal = N + RetryPause; }
+void ShardLease::onFailed(Time Now) { NextRenewal = Now + RetryInterval; }
 
-bool ShardLease::lapsed(Time N, const wire::ShardMember &M) {
-  if (M.side() == Side && M.incarnation() != Incarnation)
-    return true; // This process holds the old one's address: it is gone.
-  const std::string Key = M.side() + "/" + std::to_string(M.incarnation());
-  const auto [It, New] = Seen.try_emplace(Key, Sighting{M.renewals(), N});
-  if (!New && It->second.Renewals != M.renewals())
-    It->second = {M.renewals(), N};
-  const auto Gone = GoneSince.find(M.side());
-  if (Gone != GoneSince.end() && N - Gone->second >= Limits.goneMargin())
+bool ShardLease::expired(Time Now, const wire::ShardMember &Member) {
+  if (Member.side() == Side && Member.incarnation() != Incarnation)
+    return true; // Ended, since this process now has the side's address.
+  const std::string Key =
+      Member.side() + "/" + std::to_string(Member.incarnation());
+  const auto [It, New] = ObservedRenewals.try_emplace(
+      Key, ObservedRenewal{Member.renewals(), Now});
+  if (!New && It->second.Renewals != Member.renewals())
+    It->second = {Member.renewals(), Now};
+  const auto Gone = GoneSince.find(Member.side());
+  if (Gone != GoneSince.end() && Now - Gone->second >= Limits.goneMargin())
     return true;
-  return N - It->second.Since >= Limits.lease() + Limits.margin();
+  return Now - It->second.ObservedAt >= Limits.lease() + Limits.margin();
 }
 
-wire::ShardMember *ShardLease::self(wire::ShardTable &Table) const {
-  for (wire::ShardMember &M : *Table.mutable_members())
-    if (M.side() == Side && M.incarnation() == Incarnation)
-      return &M;
+wire::ShardMember *ShardLease::ownMember(wire::ShardTable &Table) const {
+  for (wire::ShardMember &Member : *Table.mutable_members())
+    if (Member.side() == Side && Member.incarnation() == Incarnation)
+      return &Member;
   return nullptr;
 }
 
-size_t ShardLease::quota(Time N, const wire::ShardTable &Table) const {
+size_t ShardLease::shardQuota(Time Now, const wire::ShardTable &Table) const {
   size_t Members = static_cast<size_t>(Table.members_size());
-  if (N - Started < JoinGrace)
+  if (Now - Started < StartupPeriod)
     Members = std::max(Members, Limits.declaredMembers());
   return (Limits.shards() + Members - 1) / std::max<size_t>(Members, 1);
 }
 
-void ShardLease::plan(Time N, wire::ShardTable &Table, ShardEffects &Out) {
+void ShardLease::plan(Time Now, wire::ShardTable &Table,
+                      ShardEffects &Effects) {
   if (Started == Time{})
-    Started = N;
+    Started = Now;
   auto &Members = *Table.mutable_members();
   for (int I = Members.size() - 1; I >= 0; --I) {
     const bool IsSelf =
         Members[I].side() == Side && Members[I].incarnation() == Incarnation;
-    const bool Ends = IsSelf ? Releasing : lapsed(N, Members[I]);
-    if (Ends)
+    const bool Remove = IsSelf ? Releasing : expired(Now, Members[I]);
+    if (Remove)
       Members.DeleteSubrange(I, 1);
   }
   if (Releasing) {
-    Out.EndLease = true;
+    Effects.EndLease = true;
     for (uint32_t Shard : Owned)
-      Out.Drop.push_back(Shard);
+      Effects.Drop.push_back(Shard);
     Owned.clear();
     return;
   }
-  if (!self(Table)) {
-    // New, or taken out by others after the lease lapsed.
-    Out.EndLease = true;
+  if (!ownMember(Table)) {
+    // A new member, or one that others removed after its lease expired.
+    Effects.EndLease = true;
     for (uint32_t Shard : Owned)
-      Out.Drop.push_back(Shard);
+      Effects.Drop.push_back(Shard);
     Owned.clear();
-    wire::ShardMember &M = *Members.Add();
-    M.set_side(Side);
-    M.set_incarnation(Incarnation);
+    wire::ShardMember &Member = *Members.Add();
+    Member.set_side(Side);
+    Member.set_incarnation(Incarnation);
   }
-  wire::ShardMember &Me = *self(Table);
-  Me.set_renewals(++Renewals);
+  wire::ShardMember &Own = *ownMember(Table);
+  Own.set_renewals(++Renewals);
   std::set<uint32_t> Free;
   for (uint32_t I = 0; I < Limits.shards(); ++I)
     Free.insert(I);
-  bool OthersLack = false;
-  const size_t Quota = quota(N, Table);
-  for (const wire::ShardMember &M : Members) {
-    for (const wire::ShardGrant &G : M.shards())
-      Free.erase(G.shard());
-    OthersLack |= &M != &Me && static_cast<size_t>(M.shards_size()) + 1 < Quota;
+  bool OthersBelowQuota = false;
+  const size_t Quota = shardQuota(Now, Table);
+  for (const wire::ShardMember &Member : Members) {
+    for (const wire::ShardGrant &Grant : Member.shards())
+      Free.erase(Grant.shard());
+    OthersBelowQuota |= &Member != &Own &&
+                        static_cast<size_t>(Member.shards_size()) + 1 < Quota;
   }
-  auto &Mine = *Me.mutable_shards();
-  while (!Free.empty() && static_cast<size_t>(Mine.size()) < Quota) {
-    wire::ShardGrant &G = *Mine.Add();
-    G.set_shard(*Free.begin());
+  auto &OwnShards = *Own.mutable_shards();
+  while (!Free.empty() && static_cast<size_t>(OwnShards.size()) < Quota) {
+    wire::ShardGrant &Grant = *OwnShards.Add();
+    Grant.set_shard(*Free.begin());
     Table.set_last_fencing_number(Table.last_fencing_number() + 1);
-    G.set_fencing_number(Table.last_fencing_number());
+    Grant.set_fencing_number(Table.last_fencing_number());
     Free.erase(Free.begin());
   }
-  while (OthersLack && static_cast<size_t>(Mine.size()) > Quota) {
-    const uint32_t Shard = Mine[Mine.size() - 1].shard();
-    Mine.RemoveLast();
+  while (OthersBelowQuota && static_cast<size_t>(OwnShards.size()) > Quota) {
+    const uint32_t Shard = OwnShards[OwnShards.size() - 1].shard();
+    OwnShards.RemoveLast();
     if (Owned.erase(Shard))
-      Out.Drop.push_back(Shard);
+      Effects.Drop.push_back(Shard);
   }
 }
 
-void ShardLease::adopt(const wire::ShardTable &Table, ShardEffects &Out) {
-  std::set<uint32_t> Mine;
-  for (const wire::ShardMember &M : Table.members())
-    for (const wire::ShardGrant &G : M.shards()) {
-      Out.Owners[G.shard()] = M.side();
-      if (M.side() != Side || M.incarnation() != Incarnation)
+void ShardLease::applyTable(const wire::ShardTable &Table,
+                            ShardEffects &Effects) {
+  std::set<uint32_t> OwnShards;
+  for (const wire::ShardMember &Member : Table.members())
+    for (const wire::ShardGrant &Grant : Member.shards()) {
+      Effects.Owners[Grant.shard()] = Member.side();
+      if (Member.side() != Side || Member.incarnation() != Incarnation)
         continue;
-      Mine.insert(G.shard());
-      if (!Owned.count(G.shard()))
-        Out.Take.push_back({G.shard(), G.fencing_number()});
+      OwnShards.insert(Grant.shard());
+      if (!Owned.count(Grant.shard()))
+        Effects.Take.push_back({Grant.shard(), Grant.fencing_number()});
     }
   for (uint32_t Shard : Owned)
-    if (!Mine.count(Shard))
-      Out.Drop.push_back(Shard);
-  Owned = std::move(Mine);
+    if (!OwnShards.count(Shard))
+      Effects.Drop.push_back(Shard);
+  Owned = std::move(OwnShards);
 }
 
-void ShardLease::onWritten(Time SentAt, Time N, const wire::ShardTable &Table,
-                           ShardEffects &Out) {
-  adopt(Table, Out);
+void ShardLease::onWritten(Time SentAt, Time Now, const wire::ShardTable &Table,
+                           ShardEffects &Effects) {
+  applyTable(Table, Effects);
   if (Releasing) {
     Released = true;
     return;
   }
-  Out.LeaseUntil = SentAt + Limits.lease();
+  Effects.LeaseUntil = SentAt + Limits.lease();
   size_t Granted = 0;
-  for (const wire::ShardMember &M : Table.members())
-    Granted += static_cast<size_t>(M.shards_size());
-  const bool Settled = Granted >= Limits.shards();
+  for (const wire::ShardMember &Member : Table.members())
+    Granted += static_cast<size_t>(Member.shards_size());
+  const bool AllGranted = Granted >= Limits.shards();
   NextRenewal =
-      N + (Settled ? Limits.renewEvery()
-                   : std::min(UnsettledInterval, Limits.renewEvery()));
+      Now + (AllGranted ? Limits.renewEvery()
+                        : std::min(UnsettledInterval, Limits.renewEvery()));
 }
 
 void ShardLease::release() {
--- a/membership/shard_lease.h
+++ b/membership/shard_lease.h
@@ -1,17 +1,22 @@
-// One side's part in sharing out the keys of a plain service: holds a lease on
-// shards in a table kept by the platform, renews it, takes over the shards of
-// members whose lease lapsed, and gives up shards that others lack. A state
-// machine without I/O; its shell does one platform call at a time.
+// One side's membership in the shard table of a plain service. The platform
+// stores the table; it assigns the shards of the service's idempotency keys to
+// sides. This side holds a lease on its shards and renews it, takes the shards
+// of members whose lease expired, and gives up shards that other members lack.
+// A state machine without I/O; the I/O layer makes one platform call at a time.
 //
-//   ShardLease L(ShardLease::Options(), "ledger-1", Incarnation);
-//   if (L.due(Now)) read table, then
-//   auto Write = L.plan(Now, Table, Effects); put it conditionally, then
-//   L.onWritten(SentAt, Now, Table, Effects)   // only if it succeeded
+//   ShardLease Lease(ShardLease::Options(), "ledger-1", Incarnation);
+//   if (Lease.due(Now)) {
+//     wire::ShardTable Table = read();
+//     Lease.plan(Now, Table, Effects);
+//     if (writeIfUnchanged(Table))
+//       Lease.onWritten(SentAt, Now, Table, Effects);
+//   }
 //
-// A lease counts from before its write was sent; others count from after they
-// saw it. So a lease that others take for lapsed has ended for its holder,
-// whatever the clocks show, as long as they run at the same speed within
-// Margin.
+// The holder counts its lease from before the write is sent; other members
+// count it from after they read the renewal, and add margin(). When they regard
+// a lease as expired, it has therefore ended for its holder too. This holds
+// whatever time the clocks show, as long as their rates differ by no more than
+// margin() over a lease.
 #ifndef GOLDCRESTLINK_MEMBERSHIP_SHARD_LEASE_H
 #define GOLDCRESTLINK_MEMBERSHIP_SHARD_LEASE_H
 
@@ -27,7 +32,7 @@
 
 namespace goldcrestlink {
 
-/// What the lease's shell passes on to the key ledger.
+/// Changes that the I/O layer applies to the key ledger.
 struct ShardEffects {
   struct Taken {
     uint32_t Shard;
@@ -51,23 +56,24 @@
     uint32_t shards() const { return Shards; }
     size_t declaredMembers() const { return DeclaredMembers; }
     Duration goneMargin() const { return GoneMargin; }
-    Options &setLease(Duration D) {
-      Lease = D;
+    Options &setLease(Duration Value) {
+      Lease = Value;
       return *this;
     }
-    Options &setShards(uint32_t N) {
-      Shards = N;
+    Options &setShards(uint32_t Value) {
+      Shards = Value;
       return *this;
     }
-    /// Sides of the service by declaration, for a fair first share.
-    Options &setDeclaredMembers(size_t N) {
-      DeclaredMembers = N;
+    /// Number of declared sides of the service. Limits the shards taken shortly
+    /// after the start, when other sides may not have joined the table yet.
+    Options &setDeclaredMembers(size_t Value) {
+      DeclaredMembers = Value;
       return *this;
     }
-    /// How long the platform must list a member as gone before its lease is
-    /// ended early.
-    Options &setGoneMargin(Duration D) {
-      GoneMargin = D;
+    /// How long the platform must list a member as gone before its shards are
+    /// taken without waiting for the end of its lease.
+    Options &setGoneMargin(Duration Value) {
+      GoneMargin = Value;
       return *this;
     }
 
@@ -79,40 +85,45 @@
     size_t DeclaredMembers = 1;
   };
 
+  /// \p Incarnation distinguishes this process from earlier ones of the side.
   ShardLease(Options O, std::string Side, uint64_t Incarnation);
 
-  /// True when the table should be read and written again.
-  bool due(Time N) const { return N >= NextRenewal; }
-  /// The platform's list of upstreams that are gone.
-  void onGone(Time N, const std::set<std::string> &Gone);
-  /// A call failed: try again soon.
-  void onFailed(Time N);
-  /// Changes \p Table as read into what this side wants written. Shards that
-  /// it gives up are dropped at once, before the write.
-  void plan(Time N, wire::ShardTable &Table, ShardEffects &Out);
-  /// \p Table was written by a call that was sent at \p SentAt.
-  void onWritten(Time SentAt, Time N, const wire::ShardTable &Table,
-                 ShardEffects &Out);
-  /// Gives up all shards with the next write.
+  /// True when the table has to be read and written again.
+  bool due(Time Now) const { return Now >= NextRenewal; }
+  /// The platform listed the upstreams in \p Gone as gone. Replaces the list of
+  /// the previous call.
+  void onGone(Time Now, const std::set<std::string> &Gone);
+  /// A platform call failed; schedules a retry.
+  void onFailed(Time Now);
+  /// Changes \p Table, as read, to the table that this side has to write.
+  /// Shards that it gives up are added to \p Effects.Drop and must be dropped
+  /// before the write, so that no two sides own a shard at once.
+  void plan(Time Now, wire::ShardTable &Table, ShardEffects &Effects);
+  /// \p Table was written by a platform call that was sent at \p SentAt.
+  void onWritten(Time SentAt, Time Now, const wire::ShardTable &Table,
+                 ShardEffects &Effects);
+  /// Makes the next plan() give up all shards and the membership.
   void release();
-  /// True once a write without this side has succeeded after release().
+  /// True once a table without this side was written after release().
   bool released() const { return Released; }
 
 private:
-  struct Sighting {
+  struct ObservedRenewal {
     uint64_t Renewals = 0;
-    Time Since;
+    Time ObservedAt;
   };
 
-  bool lapsed(Time N, const wire::ShardMember &M);
-  void adopt(const wire::ShardTable &Table, ShardEffects &Out);
-  wire::ShardMember *self(wire::ShardTable &Table) const;
-  size_t quota(Time N, const wire::ShardTable &Table) const;
+  /// True if the member's lease has ended for its holder as well. Called for
+  /// every other member of each table read, because it records renewals.
+  bool expired(Time Now, const wire::ShardMember &Member);
+  void applyTable(const wire::ShardTable &Table, ShardEffects &Effects);
+  wire::ShardMember *ownMember(wire::ShardTable &Table) const;
+  size_t shardQuota(Time Now, const wire::ShardTable &Table) const;
 
   Options Limits;
   std::string Side;
   uint64_t Incarnation;
-  std::map<std::string, Sighting> Seen;
+  std::map<std::string, ObservedRenewal> ObservedRenewals;
   std::map<std::string, Time> GoneSince;
   std::set<uint32_t> Owned;
   uint64_t Renewals = 0;
