--- a/delivery/answer_check.cc
+++ b/delivery/answer_check.cc
@@ -1,5 +1,6 @@
-// Server-sent events are split at blank lines; each event's JSON is parsed by
-// the library and its "model" and "id" compared. Work is linear in the bytes.
+// Splits the stream of server-sent events at blank lines, parses the JSON of
+// each event and compares its "model" and "id". Each event is parsed once, and
+// the bytes kept between calls of feed() are at most MaxEventBytes.
 #include "delivery/answer_check.h"
 
 #include <nlohmann/json.hpp>
@@ -9,7 +10,7 @@
 namespace {
 constexpr size_t MaxEventBytes = 4 * 1024 * 1024;
 constexpr std::string_view DataPrefix = "data: ";
-constexpr std::string_view EndMark = "[DONE]";
+constexpr std::string_view EndMarker = "[DONE]";
 } // namespace
 
 AnswerCheck::AnswerCheck(std::string Model, std::string RequestId, bool Stream)
@@ -20,22 +21,22 @@
   const auto Json = nlohmann::json::parse(Text, nullptr, false);
   if (!Json.is_object())
     return false;
-  const auto Named = Json.find("model");
-  const auto Id = Json.find("id");
-  if (Named == Json.end() || !Named->is_string() || Id == Json.end() ||
-      !Id->is_string())
+  const auto ModelField = Json.find("model");
+  const auto IdField = Json.find("id");
+  if (ModelField == Json.end() || !ModelField->is_string() ||
+      IdField == Json.end() || !IdField->is_string())
     return false;
-  const auto &IdText = Id->get_ref<const std::string &>();
-  return Named->get_ref<const std::string &>() == Model &&
+  const auto &IdText = IdField->get_ref<const std::string &>();
+  return ModelField->get_ref<const std::string &>() == Model &&
          std::string_view(IdText).ends_with(RequestId);
 }
 
-bool AnswerCheck::takeEvent(std::string_view Event) {
-  if (SawEnd || !Event.starts_with(DataPrefix))
+bool AnswerCheck::checkEvent(std::string_view Event) {
+  if (EndSeen || !Event.starts_with(DataPrefix))
     return false;
   Event.remove_prefix(DataPrefix.size());
-  if (Event == EndMark) {
-    SawEnd = true;
+  if (Event == EndMarker) {
+    EndSeen = true;
     return true;
   }
   ++Events;
@@ -46,23 +47,24 @@
   Pending.append(Bytes);
   if (!Stream)
     return Pending.size() <= MaxEventBytes;
-  size_t Done = 0;
+  size_t CheckedBytes = 0;
   for (;;) {
-    const size_t End = Pending.find("\n\n", Done);
+    const size_t End = Pending.find("\n\n", CheckedBytes);
     if (End == std::string::npos)
       break;
-    if (!takeEvent(std::string_view(Pending).substr(Done, End - Done)))
+    if (!checkEvent(
+            std::string_view(Pending).substr(CheckedBytes, End - CheckedBytes)))
       return false;
-    Done = End + 2;
+    CheckedBytes = End + 2;
   }
-  Checked.append(Pending, 0, Done);
-  Pending.erase(0, Done);
+  Checked.append(Pending, 0, CheckedBytes);
+  Pending.erase(0, CheckedBytes);
   return Pending.size() <= MaxEventBytes;
 }
 
 bool AnswerCheck::complete(std::string &Checked) {
   if (Stream)
-    return SawEnd && Pending.empty();
+    return EndSeen && Pending.empty();
   if (!partMatches(Pending))
     return false;
   Checked.append(Pending);
--- a/delivery/answer_check.h
+++ b/delivery/answer_check.h
@@ -1,10 +1,11 @@
-// Checks an engine's answer while it passes: that every part names the
-// adapter, version and request that were asked for, and that a stream ends
-// with its end mark. Only checked, complete events are handed on.
+// Checks an engine's answer while it is being received: every part must name
+// the adapter version and the request id of the call, and a stream must end
+// with "[DONE]". Only complete events that passed the check are forwarded.
 //
-//   AnswerCheck C("stave-1@3", AttemptId, /*Stream=*/true);
-//   if (!C.feed(Bytes, Checked)) fail(Code::WrongAdapter);
-//   if (!C.complete()) fail(Code::Interrupted);
+//   AnswerCheck Check("stave-1@3", AttemptId, /*Stream=*/true);
+//   std::string Checked;   // bytes that may be forwarded
+//   if (!Check.feed(Bytes, Checked)) fail(Code::WrongAdapter);
+//   if (!Check.complete(Checked)) fail(Code::WrongAdapter);
 #ifndef GOLDCRESTLINK_DELIVERY_ANSWER_CHECK_H
 #define GOLDCRESTLINK_DELIVERY_ANSWER_CHECK_H
 
@@ -13,30 +14,34 @@
 
 namespace goldcrestlink {
 
-/// Not thread-safe. Holds at most MaxEventBytes of an incomplete event.
+/// Not thread-safe. feed() fails once more than MaxEventBytes are buffered: an
+/// incomplete event of a stream, or a body that is not streamed.
 class AnswerCheck {
 public:
-  /// \p Model is "adapter@version"; \p RequestId is what the engine echoes at
-  /// the end of each part's "id".
+  /// \p Model is "adapter@version". \p RequestId is the id sent with the call;
+  /// the engine repeats it at the end of the "id" field of each part.
   AnswerCheck(std::string Model, std::string RequestId, bool Stream);
 
-  /// Takes bytes and appends checked ones to \p Checked. False if a part is
-  /// malformed, too large, or belongs to another adapter or request.
+  /// Adds received bytes and, for a stream, appends the complete events that
+  /// passed the check to \p Checked. Returns false if a part is malformed, too
+  /// large, or belongs to another adapter or request.
   bool feed(std::string_view Bytes, std::string &Checked);
-  /// True once the whole answer has been fed. For an answer that is not
-  /// streamed, checks the body; call it once, at the end.
+  /// To be called once, after the last feed(). For a stream, returns true if it
+  /// ended with its end marker and no bytes are left over. Otherwise checks the
+  /// body, appends it to \p Checked and returns true if it passed.
   bool complete(std::string &Checked);
-  /// Events, that is tokens, seen in a stream.
+  /// Number of events received in a stream, without the end marker. The engine
+  /// sends one event per token.
   size_t events() const { return Events; }
 
 private:
   bool partMatches(std::string_view Json) const;
-  bool takeEvent(std::string_view Event);
+  bool checkEvent(std::string_view Event);
 
   std::string Model;
   std::string RequestId;
   bool Stream;
-  bool SawEnd = false;
+  bool EndSeen = false;
   size_t Events = 0;
   std::string Pending;
 };
--- a/delivery/key_ledger.cc
+++ b/delivery/key_ledger.cc
@@ -1,7 +1,8 @@
-// Keys live in a hash map, and in a map by issue time that makes expiry cost
-// only what it removes. A key is forgotten only when its issue time alone is
-// reason to refuse it, so forgetting never allows a second run. The number of
-// keys is bounded; a full ledger refuses new keys before they run.
+// Keys are stored in a hash map and indexed by issue time, so that the cost of
+// expiry depends only on the number of keys removed. Expiry deletes a key only
+// when it is so old that claim() refuses it by its issue time alone, so it
+// never allows a second run. The number of keys is bounded; a full ledger
+// refuses new keys before they run.
 #include "delivery/key_ledger.h"
 
 #include <algorithm>
@@ -15,8 +16,8 @@
 
 int64_t millis(Duration D) { return D.count() / 1000; }
 
-KeyDecision refuse(Code Why, Outcome Known) {
-  return {KeyVerdict::Refuse, Why, Known, nullptr};
+KeyDecision refuse(Code Reason, Outcome KnownOutcome) {
+  return {KeyVerdict::Refuse, Reason, KnownOutcome, nullptr};
 }
 
 } // namespace
@@ -29,74 +30,75 @@
   return keyShard(Key, Limits.shards());
 }
 
-void KeyLedger::takeShard(uint32_t Which, WallTime TakenAt,
+void KeyLedger::takeShard(uint32_t Shard, WallTime TakenAt,
                           uint64_t FencingNumber) {
-  if (Owned.count(Which))
+  if (Owned.count(Shard))
     return;
-  const int64_t Barrier =
+  const int64_t BarrierMs =
       unixMillis(TakenAt) + 2 * millis(Limits.clockSkew()) + 1;
-  Owned[Which] = {Barrier, FencingNumber};
+  Owned[Shard] = {BarrierMs, FencingNumber};
 }
 
-void KeyLedger::dropShard(uint32_t Which) {
-  Owned.erase(Which);
-  std::erase_if(ByIssue,
-                [&](const auto &E) { return shardOf(E.second) == Which; });
-  std::erase_if(Keys, [&](const auto &E) { return shardOf(E.first) == Which; });
+void KeyLedger::dropShard(uint32_t Shard) {
+  Owned.erase(Shard);
+  std::erase_if(KeysByIssueTime,
+                [&](const auto &E) { return shardOf(E.second) == Shard; });
+  std::erase_if(Keys, [&](const auto &E) { return shardOf(E.first) == Shard; });
 }
 
 void KeyLedger::extendLease(Time Until) {
   LeaseUntil = std::max(LeaseUntil, Until);
 }
 
-int64_t KeyLedger::present(const Now &N) {
-  LatestMs = std::max(LatestMs, unixMillis(N.Wall));
-  return LatestMs;
+int64_t KeyLedger::monotonicWallMs(const Now &Now) {
+  LatestWallMs = std::max(LatestWallMs, unixMillis(Now.Wall));
+  return LatestWallMs;
 }
 
-KeyDecision KeyLedger::known(Record &R, const KeyedCall &Call) const {
-  if (R.Fingerprint != Call.Fingerprint || R.IssuedMs != Call.IssuedMs)
+KeyDecision KeyLedger::decideKnownKey(Record &Entry,
+                                      const KeyedCall &Call) const {
+  if (Entry.Fingerprint != Call.Fingerprint || Entry.IssuedMs != Call.IssuedMs)
     return refuse(Code::KeyMismatch, Outcome::None);
-  if (R.Is == State::Refused) {
-    if (Call.ReceivedMs <= R.RefusedMs + millis(Limits.clockSkew()))
+  if (Entry.Status == State::Refused) {
+    if (Call.ReceivedMs <= Entry.RefusedMs + millis(Limits.clockSkew()))
       return refuse(Code::Overloaded, Outcome::NotRun);
-    R.Is = State::Claimed;
+    Entry.Status = State::Claimed;
     return {KeyVerdict::Run, Code::None, Outcome::None, nullptr};
   }
-  if (R.Is == State::Claimed)
+  if (Entry.Status == State::Claimed)
     return {KeyVerdict::Join, Code::None, Outcome::None, nullptr};
-  if (R.Is == State::Lost)
+  if (Entry.Status == State::Lost)
     return refuse(Code::Interrupted, Outcome::Unknown);
-  return {KeyVerdict::Replay, Code::None, Outcome::Ran, &R.Answer};
+  return {KeyVerdict::Replay, Code::None, Outcome::Ran, &Entry.Answer};
 }
 
-KeyDecision KeyLedger::claim(const Now &N, const KeyedCall &Call) {
+KeyDecision KeyLedger::claim(const Now &Now, const KeyedCall &Call) {
   const auto Owner = Owned.find(shardOf(Call.Key));
   if (Owner == Owned.end())
     return refuse(Code::NotOwner, Outcome::None);
-  if (!leaseValid(N.Steady))
+  if (!leaseValid(Now.Steady))
     return refuse(Code::LeaseLapsed, Outcome::None);
   const auto It = Keys.find(Call.Key);
   if (It != Keys.end())
-    return known(It->second, Call);
-  const int64_t Present = present(N);
-  if (Call.IssuedMs > Present + millis(Limits.clockSkew()))
+    return decideKnownKey(It->second, Call);
+  const int64_t NowMs = monotonicWallMs(Now);
+  if (Call.IssuedMs > NowMs + millis(Limits.clockSkew()))
     return refuse(Code::KeyFromFuture, Outcome::None);
   if (Limits.refuseOlderKeys() && Call.IssuedMs <= Owner->second.BarrierMs)
     return refuse(Code::KeyBeforeOwner, Outcome::Unknown);
-  if (Call.IssuedMs + millis(Limits.retention()) <= Present)
+  if (Call.IssuedMs + millis(Limits.retention()) <= NowMs)
     return refuse(Code::KeyExpired, Outcome::Unknown);
   if (Keys.size() >= Limits.maxKeys())
     return refuse(Code::Overloaded, Outcome::None);
   Keys[Call.Key] = {State::Claimed, Call.IssuedMs, 0, Call.Fingerprint, {}};
-  ByIssue.emplace(Call.IssuedMs, Call.Key);
+  KeysByIssueTime.emplace(Call.IssuedMs, Call.Key);
   return {KeyVerdict::Run, Code::None, Outcome::None, nullptr};
 }
 
-bool KeyLedger::mayDispatch(const Now &N, const std::string &Key) const {
+bool KeyLedger::mayDispatch(const Now &Now, const std::string &Key) const {
   const auto It = Keys.find(Key);
-  return leaseValid(N.Steady) && owns(Key) && It != Keys.end() &&
-         It->second.Is == State::Claimed;
+  return leaseValid(Now.Steady) && owns(Key) && It != Keys.end() &&
+         It->second.Status == State::Claimed;
 }
 
 void KeyLedger::finish(const std::string &Key, KeptAnswer Answer) {
@@ -107,35 +109,38 @@
     Answer.Body.clear();
     Answer.BodyKept = false;
   }
-  It->second.Is = State::Finished;
+  It->second.Status = State::Finished;
   It->second.Answer = std::move(Answer);
 }
 
-void KeyLedger::lose(const std::string &Key) {
+void KeyLedger::markLost(const std::string &Key) {
   const auto It = Keys.find(Key);
   if (It != Keys.end())
-    It->second.Is = State::Lost;
+    It->second.Status = State::Lost;
 }
 
-void KeyLedger::release(const Now &N, const std::string &Key) {
+void KeyLedger::release(const Now &Now, const std::string &Key) {
   const auto It = Keys.find(Key);
-  if (It == Keys.end() || It->second.Is != State::Claimed)
+  if (It == Keys.end() || It->second.Status != State::Claimed)
     return;
-  It->second.Is = State::Refused;
-  It->second.RefusedMs = present(N);
-}
-
-void KeyLedger::expire(const Now &N) {
-  const int64_t Horizon =
-      present(N) - millis(Limits.retention()) - 2 * millis(Limits.clockSkew());
-  while (!ByIssue.empty() && ByIssue.begin()->first < Horizon) {
-    const auto It = Keys.find(ByIssue.begin()->second);
-    // A call that still runs keeps its record until it ends.
-    if (It != Keys.end() && It->second.Is == State::Claimed)
+  It->second.Status = State::Refused;
+  It->second.RefusedMs = monotonicWallMs(Now);
+}
+
+void KeyLedger::expire(const Now &Now) {
+  const int64_t ExpireBeforeMs = monotonicWallMs(Now) -
+                                 millis(Limits.retention()) -
+                                 2 * millis(Limits.clockSkew());
+  while (!KeysByIssueTime.empty() &&
+         KeysByIssueTime.begin()->first < ExpireBeforeMs) {
+    const auto It = Keys.find(KeysByIssueTime.begin()->second);
+    // The record of a call in progress is kept until the call ends. Until then
+    // keys issued after it are kept too.
+    if (It != Keys.end() && It->second.Status == State::Claimed)
       return;
     if (It != Keys.end())
       Keys.erase(It);
-    ByIssue.erase(ByIssue.begin());
+    KeysByIssueTime.erase(KeysByIssueTime.begin());
   }
 }
 
@@ -146,8 +151,8 @@
 
 std::vector<uint32_t> KeyLedger::ownedShards() const {
   std::vector<uint32_t> Out;
-  for (const auto &[Which, S] : Owned)
-    Out.push_back(Which);
+  for (const auto &[Shard, Ownership] : Owned)
+    Out.push_back(Shard);
   return Out;
 }
 
--- a/delivery/key_ledger.h
+++ b/delivery/key_ledger.h
@@ -1,17 +1,21 @@
-// The owner's memory of idempotency keys: decides whether a call with a key
-// may run, joins one that runs, or gets the answer of one that ran. A side
-// decides only for shards that it owns and only while its lease is valid.
+// The idempotency keys of the shards that a side owns. For each call with a key
+// it decides whether the call may run, waits for a run in progress (join), gets
+// the stored answer of a finished run (replay), or is refused. A side decides
+// only for shards that it owns, and only while its lease is valid.
 //
-//   KeyLedger L(KeyLedger::Options());
-//   L.extendLease(ValidUntil);  L.takeShard(3, Now.Wall);
-//   KeyDecision D = L.claim(Now, Call);
-//   if (D.What == KeyVerdict::Run && L.mayDispatch(Now, Key)) dispatch();
-//   L.finish(Key, Answer);
+//   KeyLedger Ledger(KeyLedger::Options());
+//   Ledger.extendLease(ValidUntil);
+//   Ledger.takeShard(3, Now.Wall, FencingNumber);
+//   KeyDecision Decision = Ledger.claim(Now, Call);
+//   if (Decision.Verdict == KeyVerdict::Run && Ledger.mayDispatch(Now, Key))
+//     dispatch();
+//   Ledger.finish(Key, Answer);
 //
-// Why at most one run per key holds across owners: a key not in memory is run
-// only if it was issued after this owner took the shard (plus twice the clock
-// skew). An earlier owner accepts no key from the future, and stopped before
-// this one took over, so it cannot have run such a key.
+// A key runs at most once, also when its shard changes owner. An owner runs a
+// key that it does not know only if the key was issued later than the time at
+// which it took the shard plus twice the clock skew. The earlier owner stopped
+// before that time and refuses keys issued in its future, so it cannot have run
+// such a key.
 #ifndef GOLDCRESTLINK_DELIVERY_KEY_LEDGER_H
 #define GOLDCRESTLINK_DELIVERY_KEY_LEDGER_H
 
@@ -29,18 +33,19 @@
 
 enum class KeyVerdict { Run, Join, Replay, Refuse };
 
-/// A call that wants to run under a key.
+/// A call with an idempotency key.
 struct KeyedCall {
   std::string Key;
-  /// When the caller made the key, by its clock.
+  /// When the caller created the key, in Unix milliseconds by its clock.
   int64_t IssuedMs = 0;
-  /// When this submission reached the system, by the entry's clock.
+  /// When the entry received this submission, in Unix milliseconds by its
+  /// clock.
   int64_t ReceivedMs = 0;
-  /// Hash of what is asked; a key stands for one request only.
+  /// Hash of the request. All submissions of a key must have the same one.
   uint64_t Fingerprint = 0;
 };
 
-/// A whole answer kept for replay.
+/// A complete answer that is kept for replay.
 struct KeptAnswer {
   unsigned Status = 0;
   std::string ContentType;
@@ -50,12 +55,13 @@
 };
 
 struct KeyDecision {
-  KeyVerdict What = KeyVerdict::Refuse;
-  Code Why = Code::None;
-  /// What the owner knows of the key as a whole, earlier submissions included.
-  /// None: this submission does not run, but nothing is known of earlier ones.
-  Outcome Known = Outcome::None;
-  /// Set for Replay; valid until the next command.
+  KeyVerdict Verdict = KeyVerdict::Refuse;
+  Code Reason = Code::None;
+  /// What the owner knows about all submissions of the key so far. If Verdict
+  /// is Refuse, None means that this submission does not run and that nothing
+  /// is known about earlier ones.
+  Outcome KnownOutcome = Outcome::None;
+  /// Set for Replay only; valid until the next call that changes the ledger.
   const KeptAnswer *Answer = nullptr;
 };
 
@@ -70,30 +76,31 @@
     Duration retention() const { return Retention; }
     Duration clockSkew() const { return ClockSkew; }
     bool refuseOlderKeys() const { return RefuseOlderKeys; }
-    Options &setShards(uint32_t N) {
-      Shards = N;
+    Options &setShards(uint32_t Value) {
+      Shards = Value;
       return *this;
     }
-    Options &setMaxKeys(size_t N) {
-      MaxKeys = N;
+    Options &setMaxKeys(size_t Value) {
+      MaxKeys = Value;
       return *this;
     }
-    Options &setMaxKeptBody(size_t N) {
-      MaxKeptBody = N;
+    Options &setMaxKeptBody(size_t Value) {
+      MaxKeptBody = Value;
       return *this;
     }
-    Options &setRetention(Duration D) {
-      Retention = D;
+    Options &setRetention(Duration Value) {
+      Retention = Value;
       return *this;
     }
-    Options &setClockSkew(Duration D) {
-      ClockSkew = D;
+    Options &setClockSkew(Duration Value) {
+      ClockSkew = Value;
       return *this;
     }
 
   private:
     friend struct KeyLedgerMutation;
-    bool RefuseOlderKeys = true; // Off only in tests.
+    // Refuses keys issued before the shard was taken. Off only in tests.
+    bool RefuseOlderKeys = true;
     uint32_t Shards = 16;
     size_t MaxKeys = 200000;
     size_t MaxKeptBody = 16 * 1024;
@@ -103,37 +110,40 @@
 
   explicit KeyLedger(Options O) : Limits(O) {}
 
-  /// Starts to own a shard at \p TakenAt. Precondition: every earlier owner's
-  /// lease has ended before \p TakenAt.
+  /// Starts to own a shard at \p TakenAt. Has no effect if it is owned already.
+  /// Precondition: every earlier owner's lease has ended before \p TakenAt.
   void takeShard(uint32_t Shard, WallTime TakenAt, uint64_t FencingNumber);
-  /// Stops owning a shard and forgets its keys.
+  /// Stops owning a shard and deletes its keys.
   void dropShard(uint32_t Shard);
-  /// The lease is valid until \p Until. Never shortens it.
+  /// Extends the lease to \p Until; an earlier time has no effect.
   void extendLease(Time Until);
-  /// Ends the lease at once, before its shards are given away.
+  /// Ends the lease at once; called before its shards are given up.
   void endLease() { LeaseUntil = Time{}; }
 
-  /// Decides about a call. After Run the key is claimed: finish(), lose() or
-  /// release() must follow.
-  KeyDecision claim(const Now &N, const KeyedCall &Call);
-  /// True if a claimed key may still be dispatched; to be asked right before.
-  bool mayDispatch(const Now &N, const std::string &Key) const;
-  /// The call ran and its answer is known.
+  /// Decides whether a call may run. After Run the key is claimed and must be
+  /// ended with finish(), markLost() or release().
+  KeyDecision claim(const Now &Now, const KeyedCall &Call);
+  /// True if the call of a claimed key may still be sent to the service. To be
+  /// checked immediately before sending, because the lease may have expired.
+  bool mayDispatch(const Now &Now, const std::string &Key) const;
+  /// Records the answer of a call that ran.
   void finish(const std::string &Key, KeptAnswer Answer);
-  /// The call may have run but its answer is lost: later claims get Unknown.
-  void lose(const std::string &Key);
-  /// The claimed call certainly did not run, and its caller is told so. Only a
-  /// submission received after this may claim the key again, so that a late
-  /// message of an earlier one cannot run behind the caller's back.
-  void release(const Now &N, const std::string &Key);
-  /// Forgets keys past their retention.
-  void expire(const Now &N);
+  /// Records that the call may have run but its answer is lost. Later claims
+  /// are refused with Outcome::Unknown.
+  void markLost(const std::string &Key);
+  /// Records that the claimed call did not run and that its caller is notified
+  /// of this. Only a submission received after \p Now plus the clock skew may
+  /// claim the key again. A delayed message of an earlier submission, which the
+  /// caller knows as refused, therefore cannot run.
+  void release(const Now &Now, const std::string &Key);
+  /// Deletes keys whose retention has passed.
+  void expire(const Now &Now);
 
   bool owns(std::string_view Key) const { return Owned.count(shardOf(Key)); }
   bool ownsShard(uint32_t Shard) const { return Owned.count(Shard); }
-  bool leaseValid(Time N) const { return N < LeaseUntil; }
+  bool leaseValid(Time Now) const { return Now < LeaseUntil; }
   uint32_t shardOf(std::string_view Key) const;
-  /// The fencing number under which the key's shard is owned.
+  /// The fencing number of the key's shard, or 0 if the shard is not owned.
   uint64_t fencingNumber(std::string_view Key) const;
   std::vector<uint32_t> ownedShards() const;
   size_t size() const { return Keys.size(); }
@@ -141,27 +151,29 @@
 private:
   enum class State { Claimed, Refused, Finished, Lost };
   struct Record {
-    State Is = State::Claimed;
+    State Status = State::Claimed;
     int64_t IssuedMs = 0;
     int64_t RefusedMs = 0;
     uint64_t Fingerprint = 0;
     KeptAnswer Answer;
   };
   struct Shard {
+    /// Unknown keys issued at or before this time are refused.
     int64_t BarrierMs = 0;
     uint64_t FencingNumber = 0;
   };
-  KeyDecision known(Record &R, const KeyedCall &Call) const;
-  int64_t present(const Now &N);
+  KeyDecision decideKnownKey(Record &Entry, const KeyedCall &Call) const;
+  int64_t monotonicWallMs(const Now &Now);
 
   Options Limits;
   Time LeaseUntil{};
-  /// Latest wall time seen; keeps expiry safe when the clock is set back.
-  int64_t LatestMs = 0;
+  /// Latest wall time seen, in Unix milliseconds. Expiry and age checks use it,
+  /// so that setting the clock back cannot make an expired key valid again.
+  int64_t LatestWallMs = 0;
   std::map<uint32_t, Shard> Owned;
   std::unordered_map<std::string, Record> Keys;
-  /// Keys by issue time, for expiry.
-  std::multimap<int64_t, std::string> ByIssue;
+  /// Index for expire().
+  std::multimap<int64_t, std::string> KeysByIssueTime;
 };
 
 /// Switches off one protection, so that a test can show that it is needed.
@@ -172,7 +184,7 @@
   }
 };
 
-/// Shard of \p Key among \p Shards. Thread-safe.
+/// The shard of \p Key if there are \p Shards shards. Thread-safe.
 uint32_t keyShard(std::string_view Key, uint32_t Shards);
 
 } // namespace goldcrestlink
--- a/delivery/suspect_table.cc
+++ b/delivery/suspect_table.cc
@@ -1,6 +1,7 @@
-// An entry keeps at most CrashesToQuarantine crash ids. A full table first
-// drops expired entries; if none has expired, the entry that expires soonest
-// makes room. Crashes are rare, so the scans do not matter.
+// An entry keeps at most CrashesToQuarantine crash ids. Before a crash is
+// counted, expired entries are removed; if the table is still full, the entry
+// that expires first is removed. Each removal scans the table, whose size is
+// bounded; crashes are rare, so the cost does not matter.
 #include "delivery/suspect_table.h"
 
 #include <algorithm>
@@ -11,41 +12,42 @@
 constexpr size_t CrashesToQuarantine = 2;
 } // namespace
 
-void SuspectTable::expire(Time N) {
-  std::erase_if(Entries, [&](const auto &E) { return E.second.Until <= N; });
+void SuspectTable::makeRoom(Time Now) {
+  std::erase_if(Entries,
+                [&](const auto &E) { return E.second.ExpiresAt <= Now; });
   if (Entries.size() < Limits.maxEntries())
     return;
-  const auto Oldest = std::min_element(Entries.begin(), Entries.end(),
-                                       [](const auto &A, const auto &B) {
-                                         return A.second.Until < B.second.Until;
-                                       });
-  Entries.erase(Oldest);
+  const auto ExpiresFirst = std::min_element(
+      Entries.begin(), Entries.end(), [](const auto &A, const auto &B) {
+        return A.second.ExpiresAt < B.second.ExpiresAt;
+      });
+  Entries.erase(ExpiresFirst);
 }
 
-void SuspectTable::noteCrash(Time N, const std::string &CrashId,
+void SuspectTable::noteCrash(Time Now, const std::string &CrashId,
                              std::span<const uint64_t> Fingerprints) {
-  for (uint64_t F : Fingerprints) {
-    expire(N);
-    Entry &E = Entries[F];
-    const bool Known = std::find(E.Crashes.begin(), E.Crashes.end(), CrashId) !=
-                       E.Crashes.end();
-    if (!Known && E.Crashes.size() < CrashesToQuarantine)
-      E.Crashes.push_back(CrashId);
-    E.Until = N + Limits.quarantine();
+  for (uint64_t Fingerprint : Fingerprints) {
+    makeRoom(Now);
+    Entry &E = Entries[Fingerprint];
+    const bool AlreadyCounted = std::find(E.CrashIds.begin(), E.CrashIds.end(),
+                                          CrashId) != E.CrashIds.end();
+    if (!AlreadyCounted && E.CrashIds.size() < CrashesToQuarantine)
+      E.CrashIds.push_back(CrashId);
+    E.ExpiresAt = Now + Limits.quarantine();
   }
 }
 
 void SuspectTable::clear(uint64_t Fingerprint) {
   const auto It = Entries.find(Fingerprint);
-  if (It != Entries.end() && It->second.Crashes.size() < CrashesToQuarantine)
+  if (It != Entries.end() && It->second.CrashIds.size() < CrashesToQuarantine)
     Entries.erase(It);
 }
 
-Suspicion SuspectTable::verdict(Time N, uint64_t Fingerprint) const {
+Suspicion SuspectTable::verdict(Time Now, uint64_t Fingerprint) const {
   const auto It = Entries.find(Fingerprint);
-  if (It == Entries.end() || It->second.Until <= N)
+  if (It == Entries.end() || It->second.ExpiresAt <= Now)
     return Suspicion::Clean;
-  return It->second.Crashes.size() >= CrashesToQuarantine
+  return It->second.CrashIds.size() >= CrashesToQuarantine
              ? Suspicion::Quarantined
              : Suspicion::Suspect;
 }
--- a/delivery/suspect_table.h
+++ b/delivery/suspect_table.h
@@ -1,10 +1,12 @@
-// Requests that were running when an upstream crashed. After the first crash a
-// fingerprint is suspect and may run once more, alone; after the second it is
-// quarantined for a time. Finishing clears it.
+// Fingerprints of requests that were running when an upstream crashed. After
+// the first crash a fingerprint is suspect and may run again only alone on an
+// engine; after the second it is refused until its quarantine ends. A suspect
+// that finishes is removed; a quarantined fingerprint is not.
 //
-//   SuspectTable T(SuspectTable::Options());
-//   T.noteCrash(Now, CrashId, Fingerprints);
-//   if (T.verdict(Now, Fp) == Suspicion::Quarantined) refuse();
+//   SuspectTable Suspects(SuspectTable::Options());
+//   Suspects.noteCrash(Now, CrashId, Fingerprints);
+//   if (Suspects.verdict(Now, Fingerprint) == Suspicion::Quarantined)
+//     refuse();
 #ifndef GOLDCRESTLINK_DELIVERY_SUSPECT_TABLE_H
 #define GOLDCRESTLINK_DELIVERY_SUSPECT_TABLE_H
 
@@ -26,12 +28,12 @@
   public:
     size_t maxEntries() const { return MaxEntries; }
     Duration quarantine() const { return Quarantine; }
-    Options &setMaxEntries(size_t N) {
-      MaxEntries = N;
+    Options &setMaxEntries(size_t Value) {
+      MaxEntries = Value;
       return *this;
     }
-    Options &setQuarantine(Duration D) {
-      Quarantine = D;
+    Options &setQuarantine(Duration Value) {
+      Quarantine = Value;
       return *this;
     }
 
@@ -42,20 +44,22 @@
 
   explicit SuspectTable(Options O) : Limits(O) {}
 
-  /// Counts a crash against each fingerprint; a crash id counts once.
-  void noteCrash(Time N, const std::string &CrashId,
+  /// Counts a crash for each fingerprint. Repeated calls with the same
+  /// \p CrashId count once. The quarantine period starts anew at \p Now.
+  void noteCrash(Time Now, const std::string &CrashId,
                  std::span<const uint64_t> Fingerprints);
-  /// The fingerprint finished: it did not cause the crash.
+  /// Removes a suspect that has finished and so did not cause the crash. Has no
+  /// effect on a quarantined fingerprint.
   void clear(uint64_t Fingerprint);
-  Suspicion verdict(Time N, uint64_t Fingerprint) const;
+  Suspicion verdict(Time Now, uint64_t Fingerprint) const;
   size_t size() const { return Entries.size(); }
 
 private:
   struct Entry {
-    std::vector<std::string> Crashes;
-    Time Until;
+    std::vector<std::string> CrashIds;
+    Time ExpiresAt;
   };
-  void expire(Time N);
+  void makeRoom(Time Now);
 
   Options Limits;
   std::unordered_map<uint64_t, Entry> Entries;
--- a/delivery/testing/delivery_test.cc
+++ b/delivery/testing/delivery_test.cc
@@ -1,4 +1,4 @@
-// Checked answers and suspects.
+// Tests of the check of engine answers and of the table of suspects.
 #include <doctest/doctest.h>
 
 #include "base/random.h"
@@ -21,7 +21,7 @@
 };
 
 const StreamRow StreamRows[] = {
-    {"whole", Part + Part + End, true, true},
+    {"complete", Part + Part + End, true, true},
     {"cut after a part", Part, true, false},
     {"cut within a part", Part + Part.substr(0, 20), true, false},
     {"another request's id",
@@ -44,10 +44,11 @@
 
 } // namespace
 
-TEST_CASE("a stream is checked part by part, however it is split") {
+TEST_CASE(
+    "the result of a stream check does not depend on how the bytes are split") {
   Random R(2);
   for (const StreamRow &Row : StreamRows)
-    for (int Try = 0; Try < 20; ++Try) {
+    for (int Repetition = 0; Repetition < 20; ++Repetition) {
       AnswerCheck C("a@1", "r1", true);
       std::string Checked;
       bool Accepted = true;
@@ -60,14 +61,14 @@
       CHECK_MESSAGE(Accepted == Row.Accepted, std::string(Row.Name));
       CHECK_MESSAGE((Accepted && C.complete(Checked)) == Row.Complete,
                     std::string(Row.Name));
-      // Never more than complete parts is handed on.
+      // What is forwarded is always a prefix of the stream.
       CHECK(Checked.size() % 2 ==
             Row.Bytes.substr(0, Checked.size()).size() % 2);
       CHECK(Row.Bytes.compare(0, Checked.size(), Checked) == 0);
     }
 }
 
-TEST_CASE("a whole answer is checked at its end") {
+TEST_CASE("an answer that is not streamed is checked at its end") {
   std::string Checked;
   AnswerCheck Good("a@1", "r1", false);
   CHECK(Good.feed(R"({"id":"r1",)", Checked));
@@ -82,7 +83,8 @@
 Time at(int64_t Seconds) { return Time(std::chrono::seconds(Seconds)); }
 } // namespace
 
-TEST_CASE("a second crash quarantines, a repeated notice does not") {
+TEST_CASE(
+    "a second crash quarantines a fingerprint, a repeated notice does not") {
   SuspectTable T(
       SuspectTable::Options().setQuarantine(std::chrono::seconds(60)));
   const uint64_t Both[] = {1, 2};
@@ -90,7 +92,7 @@
   T.noteCrash(at(0), "c1", Both);
   T.noteCrash(at(1), "c1", Both);
   CHECK(T.verdict(at(1), 1) == Suspicion::Suspect);
-  T.clear(2); // A bystander finished.
+  T.clear(2); // A request that did not cause the crash finished.
   CHECK(T.verdict(at(1), 2) == Suspicion::Clean);
   T.noteCrash(at(2), "c2", One);
   CHECK(T.verdict(at(2), 1) == Suspicion::Quarantined);
@@ -99,7 +101,7 @@
   CHECK(T.verdict(at(63), 1) == Suspicion::Clean);
 }
 
-TEST_CASE("the table of suspects stays within its bound") {
+TEST_CASE("the table of suspects holds at most maxEntries fingerprints") {
   SuspectTable T(SuspectTable::Options().setMaxEntries(10));
   for (uint64_t I = 0; I < 100; ++I) {
     const uint64_t F[] = {I};
--- a/side/actions.h
+++ b/side/actions.h
@@ -1,4 +1,10 @@
-// What a SideMachine asks its shell to do. The machine itself does no I/O.
+// The actions that a side's state machine requests from its I/O layer. The
+// state machine itself does no I/O.
+//
+//   Actions Out;
+//   Machine.onTimer(Now, Out);
+//   for (Action &A : Out)
+//     std::visit(PerformAction, A);
 #ifndef GOLDCRESTLINK_SIDE_ACTIONS_H
 #define GOLDCRESTLINK_SIDE_ACTIONS_H
 
@@ -11,47 +17,50 @@
 
 namespace goldcrestlink::side {
 
-/// Send to the peer (an entry or another side) that is known by its identity.
+/// Send to the connected peer, an entry or another side, with this identity.
 struct Reply {
   std::string Peer;
   wire::Envelope Message;
 };
 
-/// Send to the side beside the named upstream, possibly to this one itself.
+/// Send to the side beside the named upstream, which may be this side itself.
 struct TellSide {
   std::string Upstream;
   wire::Envelope Message;
 };
 
-/// Call the upstream. Reported by onRunHead, onRunData, onRunDone, onRunError.
+/// Call the upstream. The result is reported by onRunHead, onRunData, onRunDone
+/// and onRunError.
 struct StartRun {
   std::string AttemptId;
   std::string Method;
   std::string Path;
   std::string ContentType;
   std::string Body;
-  /// The call may not be repeated: use a connection of its own.
+  /// Use a new connection, because the call must not be repeated.
   bool OwnConnection = false;
   std::string IdempotencyKey;
-  /// 0: the upstream takes no fencing number.
+  /// 0 if the upstream does not check fencing numbers.
   uint64_t FencingNumber = 0;
-  /// What the fencing number is for: the shard of the key.
+  /// The shard of the key, for which the fencing number is valid.
   uint32_t FencingScope = 0;
 };
 
-/// Give up a call and close its connection. Nothing more is reported of it.
+/// Cancel a call and close its connection. Nothing more is reported about it.
 struct CancelRun {
   std::string AttemptId;
 };
 
-/// Order the engine to load an adapter into a slot. Reported by onLoadDone.
+/// Make the engine load an adapter into a slot. The result is reported by
+/// onLoadDone.
 struct LoadAdapter {
   size_t Slot = 0;
+  /// "adapter@version".
   std::string Key;
 };
 
-/// Ask the upstream, on a fresh connection, how it is. Reported by
-/// onUpstreamCheck.
+/// Check the health of the upstream on a new connection. The result is reported
+/// by onUpstreamCheck.
 struct CheckUpstream {};
 
 /// One line for the decision log.
--- a/side/attempt_log.cc
+++ b/side/attempt_log.cc
@@ -1,5 +1,6 @@
-// Closed records are dropped in the order in which they were closed, by age
-// and by number, so both time and memory are bounded.
+// Closed records are deleted in the order in which they were closed, when they
+// are too old or too many, so both the memory and the cost of expiry are
+// bounded.
 #include "side/attempt_log.h"
 
 #include <cassert>
@@ -27,22 +28,22 @@
   R.Events.push_back(Event);
 }
 
-void AttemptLog::close(Time N, const std::string &Id) {
+void AttemptLog::close(Time Now, const std::string &Id) {
   Record &R = Records.at(Id);
   assert(!R.Closed);
   R.Closed = true;
-  ClosedOrder.push_back({N, Id});
-  expire(N);
+  ClosedOrder.push_back({Now, Id});
+  expire(Now);
 }
 
 void AttemptLog::redirect(const std::string &Id, std::string Peer) {
   Records.at(Id).Peer = std::move(Peer);
 }
 
-void AttemptLog::expire(Time N) {
+void AttemptLog::expire(Time Now) {
   while (!ClosedOrder.empty() &&
          (ClosedOrder.size() > Limits.maxClosed() ||
-          N - ClosedOrder.front().At > Limits.keepClosed())) {
+          Now - ClosedOrder.front().At > Limits.keepClosed())) {
     Records.erase(ClosedOrder.front().Id);
     ClosedOrder.pop_front();
   }
--- a/side/attempt_log.h
+++ b/side/attempt_log.h
@@ -1,11 +1,12 @@
-// The events that a side sent for each attempt, kept so that an entry whose
-// connection went silent can have them sent again, and the ids of attempts
-// that were denied, so that a late copy of one cannot run.
+// Records the events that a side sent for each attempt, so that an entry can
+// request them again after its connection stopped responding. It also records
+// the ids of attempts that were denied, so that a delayed message of such an
+// attempt does not start it.
 //
-//   AttemptLog L(AttemptLog::Options());
-//   L.open(Id, Peer);
-//   const wire::AttemptEvent &E = L.append(Id, Event);   // numbers it
-//   L.close(Now, Id);                                    // kept for a while
+//   AttemptLog Log(AttemptLog::Options());
+//   Log.open(Id, Peer);
+//   Log.append(Id, Event);   // sets the sequence number of Event
+//   Log.close(Now, Id);      // deleted after keepClosed()
 #ifndef GOLDCRESTLINK_SIDE_ATTEMPT_LOG_H
 #define GOLDCRESTLINK_SIDE_ATTEMPT_LOG_H
 
@@ -20,7 +21,8 @@
 
 namespace goldcrestlink::side {
 
-/// Not thread-safe.
+/// Not thread-safe. Holds the open records, and at most maxClosed() closed
+/// ones.
 class AttemptLog {
 public:
   class Options {
@@ -28,16 +30,18 @@
     Duration keepClosed() const { return KeepClosed; }
     size_t maxClosed() const { return MaxClosed; }
     size_t maxBytesEach() const { return MaxBytesEach; }
-    Options &setKeepClosed(Duration D) {
-      KeepClosed = D;
+    /// How long a closed record is kept.
+    Options &setKeepClosed(Duration Value) {
+      KeepClosed = Value;
       return *this;
     }
-    Options &setMaxClosed(size_t N) {
-      MaxClosed = N;
+    Options &setMaxClosed(size_t Value) {
+      MaxClosed = Value;
       return *this;
     }
-    Options &setMaxBytesEach(size_t N) {
-      MaxBytesEach = N;
+    /// Maximum size of the stored events of one attempt, in bytes.
+    Options &setMaxBytesEach(size_t Value) {
+      MaxBytesEach = Value;
       return *this;
     }
 
@@ -52,7 +56,7 @@
     std::vector<wire::AttemptEvent> Events;
     uint32_t NextSequence = 0;
     size_t Bytes = 0;
-    /// Events were dropped to stay within maxBytesEach.
+    /// Events were dropped to stay within maxBytesEach().
     bool Truncated = false;
     bool Closed = false;
   };
@@ -61,15 +65,20 @@
 
   /// Starts a record. Precondition: none exists for this id.
   void open(const std::string &Id, std::string Peer);
-  /// Numbers and keeps an event. Precondition: the record is open.
+  /// Sets the attempt id and the sequence number of \p Event and stores a copy.
+  /// If the record then exceeded maxBytesEach(), all its stored events are
+  /// dropped instead. Precondition: the record is open.
   void append(const std::string &Id, wire::AttemptEvent &Event);
-  /// Ends a record; it is kept for keepClosed().
-  void close(Time N, const std::string &Id);
-  /// Later events of the attempt go to \p Peer.
+  /// Closes a record, which is deleted after keepClosed(). Precondition: the
+  /// record is open.
+  void close(Time Now, const std::string &Id);
+  /// Sets the peer to which later events of the attempt are sent. Precondition:
+  /// the record exists.
   void redirect(const std::string &Id, std::string Peer);
-  /// Forgets records closed long ago.
-  void expire(Time N);
+  /// Deletes records that were closed more than keepClosed() ago.
+  void expire(Time Now);
 
+  /// The record of the attempt, or null. Valid until the next change.
   const Record *find(const std::string &Id) const;
   size_t size() const { return Records.size(); }
 
--- a/side/side_loads.cc
+++ b/side/side_loads.cc
@@ -1,6 +1,8 @@
-// Loads: which adapters the waiting attempts need, permits for them, and the
-// broker that any side may be. At most one load per slot is in progress, and
-// a load never replaces a pinned slot.
+// Loads of adapters: selects the adapters that waiting attempts need, requests
+// permits for their loads and, on the side that is broker, grants permits. Each
+// slot has at most one load in progress, and a load never replaces the adapter
+// in a pinned slot. Planning costs a scan of the waiting attempts and a scan of
+// the slots per adapter that they need.
 #include <algorithm>
 #include <map>
 
@@ -11,28 +13,30 @@
 namespace {
 constexpr double LoadWaitSmoothing = 0.2;
 constexpr size_t MinSlotsForReserve = 4;
-// A request presses for its load once it has waited this part of its target.
-// Until then it lets more urgent ones go first, and others join it.
-constexpr double PressedShare = 0.25;
+// A load request is escalated once an attempt has waited for this share of its
+// time target. Until then more urgent loads go first, and more attempts can
+// join the same load.
+constexpr double EscalationShare = 0.25;
 } // namespace
 
-std::vector<LoadWant> SideMachine::loadWants(const Now &N) const {
+std::vector<LoadWant> SideMachine::loadWants(const Now &Now) const {
   std::map<uint64_t, LoadWant> BySlot;
   for (size_t Rank = 0; Rank < Queue->ranks(); ++Rank)
     for (const WaitingItem &Item : Queue->waiting(Rank)) {
       if (Slots->find(Item.Slot))
         continue;
-      const Work &W = Works.at(Item.AttemptId);
+      const ActiveAttempt &Attempt = ActiveAttempts.at(Item.AttemptId);
       const auto [It, New] = BySlot.try_emplace(Item.Slot);
       LoadWant &Want = It->second;
       if (New)
-        Want = {Item.Slot, W.SlotKey, Rank, 0, 0, false};
+        Want = {Item.Slot, Attempt.SlotKey, Rank, 0, 0, false};
       Want.Rank = std::min(Want.Rank, Rank);
-      Want.Priority += Config->ranks()[W.Rank].Worth;
+      Want.Priority += Config->ranks()[Attempt.Rank].Worth;
       ++Want.Waiting;
-      const double Waited = seconds(N.Steady - Item.Arrived);
+      const double Waited = seconds(Now.Steady - Item.Arrived);
       Want.Pressed |=
-          Rank == 0 || Waited > PressedShare * seconds(W.Target - W.Arrived);
+          Rank == 0 ||
+          Waited > EscalationShare * seconds(Attempt.Target - Attempt.Arrived);
     }
   std::vector<LoadWant> Out;
   for (auto &[Slot, Want] : BySlot)
@@ -46,20 +50,22 @@
   return Out;
 }
 
-// Less urgent ranks leave some replaceable slots to more urgent ones.
+// Number of replaceable slots that loads for \p Rank leave to more urgent
+// ranks.
 size_t SideMachine::slotReserve(size_t Rank) const {
   if (!Opts.shareRanks() || Slots->slots().size() < MinSlotsForReserve)
     return 0;
   return std::min<size_t>(Rank, 2);
 }
 
-bool SideMachine::beginLoad(const Now &N, const LoadWant &Want, Actions &Out) {
-  const auto Slot = Slots->victim(N.Steady, Demand, slotReserve(Want.Rank));
+bool SideMachine::beginLoad(const Now &Now, const LoadWant &Want,
+                            Actions &Out) {
+  const auto Slot = Slots->victim(Now.Steady, Demand, slotReserve(Want.Rank));
   if (!Slot || Slots->find(Want.Adapter))
     return false;
   const std::string Evicted = Slots->slots()[*Slot].Key;
   Slots->beginLoad(*Slot, Want.Key, Want.Adapter);
-  LoadStarted[Want.Adapter] = N.Steady;
+  LoadStarted[Want.Adapter] = Now.Steady;
   ++Counters.Loads;
   Out.emplace_back(LoadAdapter{*Slot, Want.Key});
   log(LineClass::Routine,
@@ -70,47 +76,48 @@
   return true;
 }
 
-void SideMachine::planLoads(const Now &N, Actions &Out) {
+void SideMachine::planLoads(const Now &Now, Actions &Out) {
   if (Down || Self.Kind != UpstreamKind::Engine)
     return;
-  std::vector<LoadWant> Wants = loadWants(N);
+  std::vector<LoadWant> Wants = loadWants(Now);
   if (!Opts.brokeredLoads()) {
     for (const LoadWant &Want : Wants)
-      beginLoad(N, Want, Out);
+      beginLoad(Now, Want, Out);
     return;
   }
-  // Ask only for what a slot can be found for.
-  std::erase_if(Wants, [&](const LoadWant &W) {
-    return !Slots->victim(N.Steady, Demand, slotReserve(W.Rank));
+  // Permits are requested only for loads that a slot can be found for.
+  std::erase_if(Wants, [&](const LoadWant &Want) {
+    return !Slots->victim(Now.Steady, Demand, slotReserve(Want.Rank));
   });
-  for (const PermitAsk &Ask : Planner->plan(N.Steady, Wants)) {
-    TellSide Tell{Ask.Broker, envelope()};
-    wire::LoadPermitRequest &R = *Tell.Message.mutable_permit_request();
-    R.set_side(Upstream);
-    R.set_adapter(Ask.What.Adapter);
-    R.set_priority(Ask.What.Priority);
-    R.set_rank(static_cast<uint32_t>(Ask.What.Rank));
-    R.set_waiting(static_cast<uint32_t>(Ask.What.Waiting));
-    R.set_pressed(Ask.What.Pressed);
-    Out.emplace_back(std::move(Tell));
+  for (const PermitAsk &Request : Planner->plan(Now.Steady, Wants)) {
+    TellSide Action{Request.Broker, envelope()};
+    wire::LoadPermitRequest &Message = *Action.Message.mutable_permit_request();
+    Message.set_side(Upstream);
+    Message.set_adapter(Request.What.Adapter);
+    Message.set_priority(Request.What.Priority);
+    Message.set_rank(static_cast<uint32_t>(Request.What.Rank));
+    Message.set_waiting(static_cast<uint32_t>(Request.What.Waiting));
+    Message.set_pressed(Request.What.Pressed);
+    Out.emplace_back(std::move(Action));
   }
-  if (!Wants.empty() && Planner->takeStatic(N.Steady))
-    beginLoad(N, Wants.front(), Out);
+  if (!Wants.empty() && Planner->takeStatic(Now.Steady))
+    beginLoad(Now, Wants.front(), Out);
 }
 
-void SideMachine::onLoadDone(const Now &N, size_t Slot, const std::string &Key,
-                             bool Loaded, Actions &Out) {
-  const auto &S = Slots->slots()[Slot];
-  if (S.State != SlotState::Loading || S.Key != Key)
-    return; // The engine crashed meanwhile.
-  const uint64_t Hash = S.Hash;
+void SideMachine::onLoadDone(const Now &Now, size_t Slot,
+                             const std::string &Key, bool Loaded,
+                             Actions &Out) {
+  const auto &LoadingSlot = Slots->slots()[Slot];
+  if (LoadingSlot.State != SlotState::Loading || LoadingSlot.Key != Key)
+    return; // The engine crashed during the load.
+  const uint64_t Hash = LoadingSlot.Hash;
   Slots->finishLoad(Slot, Loaded);
   Counters.LoadFailures += Loaded ? 0 : 1;
   for (size_t Rank = 0; Loaded && Rank < Queue->ranks(); ++Rank)
     for (const WaitingItem &Item : Queue->waiting(Rank))
       if (Item.Slot == Hash) {
         double &Mean = LoadWaitSeconds[Rank];
-        Mean += LoadWaitSmoothing * (seconds(N.Steady - Item.Arrived) - Mean);
+        Mean += LoadWaitSmoothing * (seconds(Now.Steady - Item.Arrived) - Mean);
         break;
       }
   const auto Permit = LoadPermits.find(Hash);
@@ -120,66 +127,67 @@
   }
   log(LineClass::Routine,
       "load adapter=" + Key + " slot=" + std::to_string(Slot) +
-          (Loaded ? " done" : " failed") +
-          " took_us=" + std::to_string((N.Steady - LoadStarted[Hash]).count()),
+          (Loaded ? " done" : " failed") + " took_us=" +
+          std::to_string((Now.Steady - LoadStarted[Hash]).count()),
       Out);
   LoadStarted.erase(Hash);
-  startReady(N, Out);
-  planLoads(N, Out);
+  startReady(Now, Out);
+  planLoads(Now, Out);
 }
 
-void SideMachine::releasePermit(const std::string &To, uint64_t Adapter,
+void SideMachine::releasePermit(const std::string &BrokerName, uint64_t Adapter,
                                 bool Loaded, Actions &Out) {
-  TellSide Tell{To, envelope()};
-  wire::LoadPermitRelease &R = *Tell.Message.mutable_permit_release();
-  R.set_side(Upstream);
-  R.set_adapter(Adapter);
-  R.set_loaded(Loaded);
-  Out.emplace_back(std::move(Tell));
+  TellSide Action{BrokerName, envelope()};
+  wire::LoadPermitRelease &Release = *Action.Message.mutable_permit_release();
+  Release.set_side(Upstream);
+  Release.set_adapter(Adapter);
+  Release.set_loaded(Loaded);
+  Out.emplace_back(std::move(Action));
 }
 
-void SideMachine::onPermitRequest(const Now &N, const std::string &Peer,
-                                  const wire::LoadPermitRequest &R,
+void SideMachine::onPermitRequest(const Now &Now, const std::string &Peer,
+                                  const wire::LoadPermitRequest &Request,
                                   Actions &Out) {
-  PermitPeers[R.side()] = Peer;
-  PermitWish Wish;
-  Wish.Side = R.side();
-  Wish.Adapter = R.adapter();
-  Wish.Rank = R.rank();
-  Wish.Priority = R.priority();
-  Wish.Pressed = R.pressed();
-  Broker->request(N.Steady, Wish);
+  PermitPeers[Request.side()] = Peer;
+  PermitWish Pending;
+  Pending.Side = Request.side();
+  Pending.Adapter = Request.adapter();
+  Pending.Rank = Request.rank();
+  Pending.Priority = Request.priority();
+  Pending.Pressed = Request.pressed();
+  Broker->request(Now.Steady, Pending);
   Reply Queued{Peer, envelope()};
-  Queued.Message.mutable_permit_grant()->set_adapter(R.adapter());
+  Queued.Message.mutable_permit_grant()->set_adapter(Request.adapter());
   Out.emplace_back(std::move(Queued));
-  grantPermits(N, Out);
+  grantPermits(Now, Out);
 }
 
-void SideMachine::grantPermits(const Now &N, Actions &Out) {
-  for (const PermitWish &Wish : Broker->grant(N.Steady)) {
-    Reply Granted{PermitPeers[Wish.Side], envelope()};
-    wire::LoadPermitGrant &G = *Granted.Message.mutable_permit_grant();
-    G.set_adapter(Wish.Adapter);
-    G.set_granted(true);
-    Out.emplace_back(std::move(Granted));
+void SideMachine::grantPermits(const Now &Now, Actions &Out) {
+  for (const PermitWish &Pending : Broker->grant(Now.Steady)) {
+    Reply Action{PermitPeers[Pending.Side], envelope()};
+    wire::LoadPermitGrant &Grant = *Action.Message.mutable_permit_grant();
+    Grant.set_adapter(Pending.Adapter);
+    Grant.set_granted(true);
+    Out.emplace_back(std::move(Action));
   }
 }
 
-// \p Peer is the broker's upstream name: grants come over this side's own
-// connection to it.
-void SideMachine::onPermitGrant(const Now &N, const std::string &Peer,
-                                const wire::LoadPermitGrant &G, Actions &Out) {
+// \p Peer is the upstream name of the broker's side, because grants arrive on
+// the connection that this side opened to the broker.
+void SideMachine::onPermitGrant(const Now &Now, const std::string &Peer,
+                                const wire::LoadPermitGrant &Grant,
+                                Actions &Out) {
   const bool Wanted =
-      Planner->onAnswer(N.Steady, Peer, G.adapter(), G.granted());
-  if (!G.granted())
+      Planner->onAnswer(Now.Steady, Peer, Grant.adapter(), Grant.granted());
+  if (!Grant.granted())
     return;
   if (Wanted)
-    for (const LoadWant &Want : loadWants(N))
-      if (Want.Adapter == G.adapter() && beginLoad(N, Want, Out)) {
-        LoadPermits[G.adapter()] = Peer;
+    for (const LoadWant &Want : loadWants(Now))
+      if (Want.Adapter == Grant.adapter() && beginLoad(Now, Want, Out)) {
+        LoadPermits[Grant.adapter()] = Peer;
         return;
       }
-  releasePermit(Peer, G.adapter(), false, Out);
+  releasePermit(Peer, Grant.adapter(), false, Out);
 }
 
 } // namespace goldcrestlink::side
--- a/side/side_machine.cc
+++ b/side/side_machine.cc
@@ -1,11 +1,12 @@
-// Intake of attempts, admission, and replies. Starting and ending of runs is
-// in side_runs.cc, loads in side_loads.cc.
+// Admission of attempts and replies to entries. Runs are started and ended in
+// side_runs.cc, adapters are loaded in side_loads.cc.
 //
-// An attempt lives in Works from admission to its last event, in Queue while
-// it waits and in Runs while the upstream has it; it is in exactly one of the
-// last two. Everything is bounded: waiting attempts by Queue, running ones by
-// the upstream's declared concurrency, kept events by AttemptLog, keys by
-// KeyLedger. Each command costs at most a scan of the waiting attempts.
+// An attempt is in ActiveAttempts from its admission to its last event. During
+// this time it is either in Queue, while it waits, or in Runs, while the
+// upstream runs it. All memory is bounded: waiting attempts by Queue, running
+// attempts by the declared concurrency of the upstream, stored events by
+// AttemptLog, and keys by KeyLedger. Each command costs at most a scan of the
+// waiting attempts.
 #include "side/side_machine.h"
 
 #include <algorithm>
@@ -19,31 +20,35 @@
 
 namespace {
 
-constexpr size_t BrokerCandidates = 3;
-constexpr uint32_t DefaultTokens = 128;
+constexpr size_t MaxBrokers = 3;
+// Expected output length of a request that sets no max_tokens.
+constexpr uint32_t DefaultOutputTokens = 128;
 constexpr uint64_t RetryAfterUs = 500000;
-constexpr Duration FarTarget = std::chrono::hours(1);
+// Target of all attempts when ranks are off: equal, and too far ahead to affect
+// the order.
+constexpr Duration UnrankedTarget = std::chrono::hours(1);
 
-std::vector<double> rankShares(const Declarations &D) {
+std::vector<double> rankShares(const Declarations &Config) {
   std::vector<double> Out;
-  for (const RankDecl &R : D.ranks())
-    Out.push_back(R.Share);
+  for (const RankDecl &Rank : Config.ranks())
+    Out.push_back(Rank.Share);
   return Out;
 }
 
-std::unordered_map<std::string, double> appShares(const Declarations &D) {
+std::unordered_map<std::string, double> appShares(const Declarations &Config) {
   std::unordered_map<std::string, double> Out;
-  for (const ApplicationDecl &A : D.applications())
-    Out[A.Name] = A.Share;
+  for (const ApplicationDecl &Application : Config.applications())
+    Out[Application.Name] = Application.Share;
   return Out;
 }
 
 } // namespace
 
-SideMachine::SideMachine(Options O, std::shared_ptr<const Declarations> InForce,
-                         std::string UpstreamName, uint64_t Seed)
-    : Opts(O), Config(std::move(InForce)), Upstream(std::move(UpstreamName)),
-      Incarnation(Seed),
+SideMachine::SideMachine(Options O,
+                         std::shared_ptr<const Declarations> InitialConfig,
+                         std::string UpstreamName, uint64_t ProcessIncarnation)
+    : Opts(O), Config(std::move(InitialConfig)),
+      Upstream(std::move(UpstreamName)), Incarnation(ProcessIncarnation),
       Demand(DemandTable::Options().setRecency(O.evictByRecency())),
       Ledger(KeyLedger::Options(Opts.ledger())
                  .setShards(
@@ -53,14 +58,14 @@
       Suspects(SuspectTable::Options().setQuarantine(
           Config->policy().QuarantineFor)),
       Log(AttemptLog::Options()) {
-  adoptSelf();
+  applyOwnDeclaration();
   buildQueue();
   buildLoads();
   if (!Opts.checkLease())
     Ledger.extendLease(Time::max());
 }
 
-void SideMachine::adoptSelf() {
+void SideMachine::applyOwnDeclaration() {
   const UpstreamDecl *Decl = Config->upstream(Upstream);
   Declared = Decl != nullptr;
   if (Decl)
@@ -75,7 +80,7 @@
   const std::vector<double> Shares = rankShares(*Config);
   Queue.emplace(RankQueue::Options().setMaxWaiting(Opts.maxWaiting()), Shares,
                 appShares(*Config));
-  LoadWaitSeconds.assign(Shares.size(), UsualLoadWaitSeconds);
+  LoadWaitSeconds.assign(Shares.size(), BaselineLoadWaitSeconds);
   Counters.Ranks.assign(Shares.size(), RankCounters());
   for (size_t I = 0; I < Shares.size(); ++I)
     Counters.Ranks[I].Rank = Config->ranks()[I].Name;
@@ -85,7 +90,7 @@
   const auto Cell = Config->group(UpstreamKind::Engine, Self.Group, Self.Cell);
   std::vector<std::string> Out;
   for (const UpstreamDecl *U :
-       rendezvousOrder(hash64("load-broker"), Cell, BrokerCandidates))
+       rendezvousOrder(hash64("load-broker"), Cell, MaxBrokers))
     Out.push_back(U->Name);
   return Out;
 }
@@ -106,37 +111,38 @@
       rankShares(*Config));
 }
 
-// Most changes touch adapters only; then the queue, the wishes and the permits
-// stay as they are.
-void SideMachine::onConfig(const Now &N,
-                           std::shared_ptr<const Declarations> Newer,
+// Most new configurations change adapters only. The queue, the load requests
+// and the permits are then kept.
+void SideMachine::onConfig(const Now &Now,
+                           std::shared_ptr<const Declarations> NewConfig,
                            Actions &Out) {
-  assert(Newer->generation() >= Config->generation());
-  const auto Older = std::move(Config);
+  assert(NewConfig->generation() >= Config->generation());
+  const auto OldConfig = std::move(Config);
   const auto OldBrokers = Planner->brokers();
-  Config = std::move(Newer);
-  adoptSelf();
-  const bool SameRanks = Older->ranks() == Config->ranks() &&
-                         Older->applications() == Config->applications();
+  Config = std::move(NewConfig);
+  applyOwnDeclaration();
+  const bool SameRanks = OldConfig->ranks() == Config->ranks() &&
+                         OldConfig->applications() == Config->applications();
   if (!SameRanks)
-    requeue(N, Out);
-  if (!SameRanks || !(Older->store() == Config->store()) ||
+    requeue(Now, Out);
+  if (!SameRanks || !(OldConfig->store() == Config->store()) ||
       OldBrokers != brokerNames())
     buildLoads();
-  startReady(N, Out);
+  startReady(Now, Out);
 }
 
-void SideMachine::requeue(const Now &N, Actions &Out) {
+void SideMachine::requeue(const Now &Now, Actions &Out) {
   std::vector<WaitingItem> Kept;
   for (size_t I = 0; I < Queue->ranks(); ++I)
     Kept.insert(Kept.end(), Queue->waiting(I).begin(), Queue->waiting(I).end());
   buildQueue();
-  for (auto &[Id, W] : Works)
-    W.Rank = Config->rankIndex(W.Ask.rank()).value_or(Queue->ranks() - 1);
+  for (auto &[Id, Attempt] : ActiveAttempts)
+    Attempt.Rank =
+        Config->rankIndex(Attempt.Request.rank()).value_or(Queue->ranks() - 1);
   for (WaitingItem &Item : Kept) {
-    Item.Rank = Opts.shareRanks() ? Works.at(Item.AttemptId).Rank : 0;
+    Item.Rank = Opts.shareRanks() ? ActiveAttempts.at(Item.AttemptId).Rank : 0;
     if (!Queue->push(Item))
-      refuseWork(N, Item.AttemptId, Code::Overloaded, Out);
+      refuseAttempt(Now, Item.AttemptId, Code::Overloaded, Out);
   }
 }
 
@@ -146,16 +152,16 @@
   return E;
 }
 
-void SideMachine::fillState(wire::SideState &S) const {
-  S.set_upstream(Upstream);
-  for (const Slot &One : Slots->slots())
-    if (One.State != SlotState::Empty)
-      S.add_resident(One.Hash);
-  S.set_running(static_cast<uint32_t>(Runs.size()));
-  S.set_waiting(static_cast<uint32_t>(Queue->size()));
-  S.set_leaving(Draining);
-  S.set_upstream_down(Down);
-  S.set_incarnation(Incarnation);
+void SideMachine::fillState(wire::SideState &State) const {
+  State.set_upstream(Upstream);
+  for (const Slot &EngineSlot : Slots->slots())
+    if (EngineSlot.State != SlotState::Empty)
+      State.add_resident(EngineSlot.Hash);
+  State.set_running(static_cast<uint32_t>(Runs.size()));
+  State.set_waiting(static_cast<uint32_t>(Queue->size()));
+  State.set_leaving(Draining);
+  State.set_upstream_down(Down);
+  State.set_incarnation(Incarnation);
 }
 
 void SideMachine::log(LineClass Class, std::string Line, Actions &Out) const {
@@ -174,42 +180,43 @@
   Out.emplace_back(std::move(Action));
 }
 
-void SideMachine::tellCell(const wire::Envelope &Message, Actions &Out) {
+void SideMachine::broadcastToCell(const wire::Envelope &Message, Actions &Out) {
   for (const UpstreamDecl *U : Config->group(Self.Kind, Self.Group, Self.Cell))
     if (U->Name != Upstream)
       Out.emplace_back(TellSide{U->Name, Message});
 }
 
-void SideMachine::onEnvelope(const Now &N, const std::string &Peer,
+void SideMachine::onEnvelope(const Now &Now, const std::string &Peer,
                              const wire::Envelope &Message, Actions &Out) {
   switch (Message.body_case()) {
   case wire::Envelope::kAttempt:
-    return onAttempt(N, Peer, Message.attempt(), Out);
+    return onAttempt(Now, Peer, Message.attempt(), Out);
   case wire::Envelope::kCancel:
-    return onCancel(N, Message.cancel(), Out);
+    return onCancel(Now, Message.cancel(), Out);
   case wire::Envelope::kResume:
-    return onResume(N, Peer, Message.resume(), Out);
+    return onResume(Now, Peer, Message.resume(), Out);
   case wire::Envelope::kProbe:
-    return onProbe(N, Peer, Message.probe(), Out);
+    return onProbe(Now, Peer, Message.probe(), Out);
   case wire::Envelope::kPermitRequest:
-    return onPermitRequest(N, Peer, Message.permit_request(), Out);
+    return onPermitRequest(Now, Peer, Message.permit_request(), Out);
   case wire::Envelope::kPermitGrant:
-    return onPermitGrant(N, Peer, Message.permit_grant(), Out);
+    return onPermitGrant(Now, Peer, Message.permit_grant(), Out);
   case wire::Envelope::kPermitRelease:
-    return Broker->release(N.Steady, Message.permit_release().side(),
+    return Broker->release(Now.Steady, Message.permit_release().side(),
                            Message.permit_release().adapter(),
                            Message.permit_release().loaded());
   case wire::Envelope::kSuspectNotice:
-    return onSuspectNotice(N, Message.suspect_notice(), Out);
+    return onSuspectNotice(Now, Message.suspect_notice(), Out);
   default:
-    return; // Not a side's concern; the shell handles the rest.
+    return; // The I/O layer handles the other messages.
   }
 }
 
-Duration SideMachine::expectedService(const wire::Attempt &A) const {
+Duration SideMachine::expectedService(const wire::Attempt &Request) const {
   if (Self.Kind == UpstreamKind::Service)
     return fromSeconds(ServiceSeconds);
-  const uint32_t Tokens = A.max_tokens() ? A.max_tokens() : DefaultTokens;
+  const uint32_t Tokens =
+      Request.max_tokens() ? Request.max_tokens() : DefaultOutputTokens;
   return fromSeconds(Tokens * TokenSeconds);
 }
 
@@ -224,280 +231,302 @@
   return Wait;
 }
 
-Code SideMachine::admissionProblem(const Now &N, const Work &W) const {
+Code SideMachine::admissionProblem(const Now &Now,
+                                   const ActiveAttempt &Attempt) const {
   if (Draining)
     return Code::Leaving;
   if (Down)
     return Code::UpstreamDown;
   if (Queue->size() >= Opts.maxWaiting())
     return Code::Overloaded;
-  if (W.Deadline <= N.Steady)
+  if (Attempt.Deadline <= Now.Steady)
     return Code::DeadlineExceeded;
   if (!Opts.shareRanks())
     return Code::None;
-  const Duration Left = W.Target - N.Steady;
-  const Duration Tolerable =
-      std::max(Left - W.Service,
+  const Duration Left = Attempt.Target - Now.Steady;
+  const Duration MaxWait =
+      std::max(Left - Attempt.Service,
                fromSeconds(TolerableWaitShare * std::max(seconds(Left), 0.0)));
-  return expectedWait(W.Rank, W.SlotHash) > Tolerable
+  return expectedWait(Attempt.Rank, Attempt.SlotHash) > MaxWait
              ? Code::DeadlineUnreachable
              : Code::None;
 }
 
-void SideMachine::sendRefusal(const Now &N, const std::string &Peer,
-                              const wire::Attempt &A, Code Why, Outcome Known,
-                              Actions &Out) {
+void SideMachine::sendRefusal(const Now &Now, const std::string &Peer,
+                              const wire::Attempt &Request, Code Reason,
+                              Outcome KnownOutcome, Actions &Out) {
   ++Counters.Refused;
-  Log.open(A.attempt_id(), Peer);
+  Log.open(Request.attempt_id(), Peer);
   wire::AttemptEvent Event;
   Event.set_kind(wire::AttemptEvent::REFUSED);
-  Event.set_code(std::string(codeName(Why)));
-  Event.set_outcome(static_cast<wire::Outcome>(Known));
+  Event.set_code(std::string(codeName(Reason)));
+  Event.set_outcome(static_cast<wire::Outcome>(KnownOutcome));
   Event.set_retry_after_us(RetryAfterUs);
-  Event.set_suspect(Suspects.verdict(N.Steady, A.fingerprint()) ==
+  Event.set_suspect(Suspects.verdict(Now.Steady, Request.fingerprint()) ==
                     Suspicion::Suspect);
-  sendEvent(A.attempt_id(), std::move(Event), Out);
-  Log.close(N.Steady, A.attempt_id());
+  sendEvent(Request.attempt_id(), std::move(Event), Out);
+  Log.close(Now.Steady, Request.attempt_id());
   log(LineClass::Kept,
-      "refused attempt=" + A.attempt_id() + " request=" + A.request_id() +
-          " adapter=" + slotKey(A.adapter(), A.version()) +
-          " rank=" + A.rank() + " reason=" + std::string(codeName(Why)),
+      "refused attempt=" + Request.attempt_id() +
+          " request=" + Request.request_id() +
+          " adapter=" + slotKey(Request.adapter(), Request.version()) +
+          " rank=" + Request.rank() +
+          " reason=" + std::string(codeName(Reason)),
       Out);
 }
 
-// Decides about the key of a call that may not be repeated. False if the
-// attempt has been answered or joined to another one.
-bool SideMachine::claimKey(const Now &N, const wire::Attempt &A, Actions &Out) {
-  const KeyDecision D = Ledger.claim(
-      N, {A.key(), A.key_issued_ms(), A.received_ms(), A.fingerprint()});
-  const std::string &Id = A.attempt_id();
-  const AttemptLog::Record *R = Log.find(Id);
-  assert(R);
+// Claims the key of a call that must not be repeated. Returns true if the call
+// may run. Otherwise the attempt has been answered or joined to another one.
+bool SideMachine::claimKey(const Now &Now, const wire::Attempt &Request,
+                           Actions &Out) {
+  const KeyDecision Decision =
+      Ledger.claim(Now, {Request.key(), Request.key_issued_ms(),
+                         Request.received_ms(), Request.fingerprint()});
+  const std::string &Id = Request.attempt_id();
+  const AttemptLog::Record *Record = Log.find(Id);
+  assert(Record);
   wire::AttemptEvent Event;
-  switch (D.What) {
+  switch (Decision.Verdict) {
   case KeyVerdict::Run:
-    KeyHolder[A.key()] = Id;
+    AttemptByKey[Request.key()] = Id;
     return true;
   case KeyVerdict::Join:
-    Works.at(KeyHolder.at(A.key())).Joined.push_back(Id);
+    ActiveAttempts.at(AttemptByKey.at(Request.key())).Joined.push_back(Id);
     Event.set_kind(wire::AttemptEvent::ACCEPTED);
     sendEvent(Id, std::move(Event), Out);
     return false;
   case KeyVerdict::Replay:
-    Event.set_kind(D.Answer->BodyKept ? wire::AttemptEvent::DONE
-                                      : wire::AttemptEvent::FAILED);
-    Event.set_status(D.Answer->Status);
-    Event.set_content_type(D.Answer->ContentType);
-    Event.set_data(D.Answer->Body);
+    Event.set_kind(Decision.Answer->BodyKept ? wire::AttemptEvent::DONE
+                                             : wire::AttemptEvent::FAILED);
+    Event.set_status(Decision.Answer->Status);
+    Event.set_content_type(Decision.Answer->ContentType);
+    Event.set_data(Decision.Answer->Body);
     Event.set_outcome(wire::OUTCOME_RAN);
-    Event.set_code(D.Answer->BodyKept ? "none" : "too_large");
+    Event.set_code(Decision.Answer->BodyKept ? "none" : "too_large");
     break;
   case KeyVerdict::Refuse:
     Event.set_kind(wire::AttemptEvent::REFUSED);
-    Event.set_code(std::string(codeName(D.Why)));
-    Event.set_outcome(static_cast<wire::Outcome>(D.Known));
+    Event.set_code(std::string(codeName(Decision.Reason)));
+    Event.set_outcome(static_cast<wire::Outcome>(Decision.KnownOutcome));
     Event.set_retry_after_us(RetryAfterUs);
-    if (const auto It = ShardOwners.find(Ledger.shardOf(A.key()));
-        D.Why == Code::NotOwner && It != ShardOwners.end())
+    if (const auto It = ShardOwners.find(Ledger.shardOf(Request.key()));
+        Decision.Reason == Code::NotOwner && It != ShardOwners.end())
       Event.set_owner_hint(It->second);
     ++Counters.Refused;
     break;
   }
   log(LineClass::Routine,
-      "key attempt=" + Id + " request=" + A.request_id() + " key=" + A.key() +
-          " reason=" + Event.code(),
+      "key attempt=" + Id + " request=" + Request.request_id() +
+          " key=" + Request.key() + " reason=" + Event.code(),
       Out);
   sendEvent(Id, std::move(Event), Out);
-  Log.close(N.Steady, Id);
+  Log.close(Now.Steady, Id);
   return false;
 }
 
-SideMachine::Work SideMachine::makeWork(const Now &N, const wire::Attempt &A,
-                                        size_t Rank) const {
-  Work W;
-  W.Ask = A;
-  W.Rank = Rank;
-  W.Arrived = N.Steady;
-  W.Target = N.Steady + Duration(static_cast<int64_t>(A.target_left_us()));
-  W.Deadline = N.Steady + Duration(static_cast<int64_t>(A.time_left_us()));
-  W.Service = expectedService(A);
+SideMachine::ActiveAttempt
+SideMachine::makeActiveAttempt(const Now &Now, const wire::Attempt &Request,
+                               size_t Rank) const {
+  ActiveAttempt Attempt;
+  Attempt.Request = Request;
+  Attempt.Rank = Rank;
+  Attempt.Arrived = Now.Steady;
+  Attempt.Target =
+      Now.Steady + Duration(static_cast<int64_t>(Request.target_left_us()));
+  Attempt.Deadline =
+      Now.Steady + Duration(static_cast<int64_t>(Request.time_left_us()));
+  Attempt.Service = expectedService(Request);
   if (Self.Kind == UpstreamKind::Engine) {
-    W.SlotKey = slotKey(A.adapter(), A.version());
-    W.SlotHash = hash64(W.SlotKey);
-    W.Missed = !Slots->ready(W.SlotHash);
+    Attempt.SlotKey = slotKey(Request.adapter(), Request.version());
+    Attempt.SlotHash = hash64(Attempt.SlotKey);
+    Attempt.NeededLoad = !Slots->ready(Attempt.SlotHash);
   }
-  return W;
+  return Attempt;
 }
 
-// Without ranks all items are of one, in order of arrival.
-WaitingItem SideMachine::waitingItem(const Now &N, const Work &W) const {
+// If ranks are off, all items have rank 0 and equal targets, so the queue
+// starts them in order of arrival.
+WaitingItem SideMachine::waitingItem(const Now &Now,
+                                     const ActiveAttempt &Attempt) const {
   WaitingItem Item;
-  Item.AttemptId = W.Ask.attempt_id();
-  Item.Slot = W.SlotHash;
-  Item.Rank = Opts.shareRanks() ? W.Rank : 0;
-  Item.Application = W.Ask.application();
-  Item.Arrived = N.Steady;
-  Item.Target = Opts.shareRanks() ? W.Target : N.Steady + FarTarget;
-  Item.Deadline = W.Deadline;
-  Item.Service = W.Service;
-  Item.Isolated = W.Ask.isolated();
+  Item.AttemptId = Attempt.Request.attempt_id();
+  Item.Slot = Attempt.SlotHash;
+  Item.Rank = Opts.shareRanks() ? Attempt.Rank : 0;
+  Item.Application = Attempt.Request.application();
+  Item.Arrived = Now.Steady;
+  Item.Target =
+      Opts.shareRanks() ? Attempt.Target : Now.Steady + UnrankedTarget;
+  Item.Deadline = Attempt.Deadline;
+  Item.Service = Attempt.Service;
+  Item.Isolated = Attempt.Request.isolated();
   return Item;
 }
 
-void SideMachine::onAttempt(const Now &N, const std::string &Peer,
-                            const wire::Attempt &A, Actions &Out) {
-  if (Log.find(A.attempt_id())) {
-    wire::Resume Again;
-    Again.set_attempt_id(A.attempt_id());
-    return onResume(N, Peer, Again, Out);
+void SideMachine::onAttempt(const Now &Now, const std::string &Peer,
+                            const wire::Attempt &Request, Actions &Out) {
+  if (Log.find(Request.attempt_id())) {
+    wire::Resume Resume;
+    Resume.set_attempt_id(Request.attempt_id());
+    return onResume(Now, Peer, Resume, Out);
   }
-  const auto Rank = Config->rankIndex(A.rank());
-  if (!Declared || A.upstream() != Upstream)
-    return sendRefusal(N, Peer, A, Code::WrongUpstream, Outcome::None, Out);
+  const auto Rank = Config->rankIndex(Request.rank());
+  if (!Declared || Request.upstream() != Upstream)
+    return sendRefusal(Now, Peer, Request, Code::WrongUpstream, Outcome::None,
+                       Out);
   if (!Rank)
-    return sendRefusal(N, Peer, A, Code::UnknownRank, Outcome::None, Out);
+    return sendRefusal(Now, Peer, Request, Code::UnknownRank, Outcome::None,
+                       Out);
   const bool Engine = Self.Kind == UpstreamKind::Engine;
-  if (Engine && (A.adapter().empty() || A.version().empty()))
-    return sendRefusal(N, Peer, A, Code::UnknownAdapter, Outcome::None, Out);
-  const Suspicion Verdict = Opts.isolateSuspects()
-                                ? Suspects.verdict(N.Steady, A.fingerprint())
-                                : Suspicion::Clean;
+  if (Engine && (Request.adapter().empty() || Request.version().empty()))
+    return sendRefusal(Now, Peer, Request, Code::UnknownAdapter, Outcome::None,
+                       Out);
+  const Suspicion Verdict =
+      Opts.isolateSuspects()
+          ? Suspects.verdict(Now.Steady, Request.fingerprint())
+          : Suspicion::Clean;
   if (Verdict == Suspicion::Quarantined)
-    return sendRefusal(N, Peer, A, Code::Quarantined, Outcome::NotRun, Out);
-  if (Verdict == Suspicion::Suspect && !A.isolated() && Engine)
-    return sendRefusal(N, Peer, A, Code::Interrupted, Outcome::NotRun, Out);
+    return sendRefusal(Now, Peer, Request, Code::Quarantined, Outcome::NotRun,
+                       Out);
+  if (Verdict == Suspicion::Suspect && !Request.isolated() && Engine)
+    return sendRefusal(Now, Peer, Request, Code::Interrupted, Outcome::NotRun,
+                       Out);
 
-  Work W = makeWork(N, A, *Rank);
+  ActiveAttempt Attempt = makeActiveAttempt(Now, Request, *Rank);
   if (Engine)
-    Demand.record(N.Steady, W.SlotHash);
-  const bool Keyed = !A.idempotent();
+    Demand.record(Now.Steady, Attempt.SlotHash);
+  const bool Keyed = !Request.idempotent();
   if (!Keyed) {
-    const Code Problem = admissionProblem(N, W);
+    const Code Problem = admissionProblem(Now, Attempt);
     if (Problem != Code::None)
-      return sendRefusal(N, Peer, A, Problem, Outcome::NotRun, Out);
-    Log.open(A.attempt_id(), Peer);
-    return enqueue(N, std::move(W), Out);
+      return sendRefusal(Now, Peer, Request, Problem, Outcome::NotRun, Out);
+    Log.open(Request.attempt_id(), Peer);
+    return enqueue(Now, std::move(Attempt), Out);
   }
-  Log.open(A.attempt_id(), Peer);
-  if (!claimKey(N, A, Out))
+  Log.open(Request.attempt_id(), Peer);
+  if (!claimKey(Now, Request, Out))
     return;
-  const Code Problem = admissionProblem(N, W);
-  const std::string &Id = A.attempt_id();
-  Works.emplace(Id, W);
+  const Code Problem = admissionProblem(Now, Attempt);
+  const std::string &Id = Request.attempt_id();
+  ActiveAttempts.emplace(Id, Attempt);
   if (Problem != Code::None)
-    return refuseWork(N, Id, Problem, Out);
-  enqueue(N, std::move(W), Out);
+    return refuseAttempt(Now, Id, Problem, Out);
+  enqueue(Now, std::move(Attempt), Out);
 }
 
-void SideMachine::enqueue(const Now &N, Work W, Actions &Out) {
-  const std::string Id = W.Ask.attempt_id();
-  const WaitingItem Item = waitingItem(N, W);
-  Works.insert_or_assign(Id, std::move(W));
+void SideMachine::enqueue(const Now &Now, ActiveAttempt Attempt, Actions &Out) {
+  const std::string Id = Attempt.Request.attempt_id();
+  const WaitingItem Item = waitingItem(Now, Attempt);
+  ActiveAttempts.insert_or_assign(Id, std::move(Attempt));
   if (!Queue->push(Item))
-    return refuseWork(N, Id, Code::Overloaded, Out);
+    return refuseAttempt(Now, Id, Code::Overloaded, Out);
   ++Counters.Admitted;
-  startReady(N, Out);
-  if (!Works.count(Id))
+  startReady(Now, Out);
+  if (!ActiveAttempts.count(Id))
     return;
   wire::AttemptEvent Event;
   Event.set_kind(wire::AttemptEvent::ACCEPTED);
   sendEvent(Id, std::move(Event), Out);
-  planLoads(N, Out);
+  planLoads(Now, Out);
 }
 
-void SideMachine::onCancel(const Now &N, const wire::Cancel &C, Actions &Out) {
-  const std::string &Id = C.attempt_id();
-  const auto It = Works.find(Id);
-  if (It == Works.end()) {
-    // Denies an attempt that is still on its way.
+void SideMachine::onCancel(const Now &Now, const wire::Cancel &Cancel,
+                           Actions &Out) {
+  const std::string &Id = Cancel.attempt_id();
+  const auto It = ActiveAttempts.find(Id);
+  if (It == ActiveAttempts.end()) {
+    // The attempt may still be in transit. Its id is recorded so that it is
+    // denied when it arrives.
     if (!Log.find(Id)) {
       Log.open(Id, {});
-      Log.close(N.Steady, Id);
+      Log.close(Now.Steady, Id);
     }
     return;
   }
-  if (!It->second.Ask.idempotent())
-    return; // Its key needs the answer.
+  if (!It->second.Request.idempotent())
+    return; // The answer is needed for later submissions of the key.
   if (Runs.count(Id)) {
     Out.emplace_back(CancelRun{Id});
     endRun(Id);
   }
-  refuseWork(N, Id, Code::Cancelled, Out);
-  startReady(N, Out);
+  refuseAttempt(Now, Id, Code::Cancelled, Out);
+  startReady(Now, Out);
 }
 
-void SideMachine::onResume(const Now &N, const std::string &Peer,
-                           const wire::Resume &R, Actions &Out) {
-  const std::string &Id = R.attempt_id();
+void SideMachine::onResume(const Now &Now, const std::string &Peer,
+                           const wire::Resume &Resume, Actions &Out) {
+  const std::string &Id = Resume.attempt_id();
   const AttemptLog::Record *Record = Log.find(Id);
   if (!Record) {
-    // The attempt never arrived. Denying it now proves that it will not run:
-    // the denial is remembered like any refusal.
+    // The attempt has not arrived. The refusal guarantees that it will not run:
+    // its id is recorded, as with any refusal, and a late copy is denied.
     wire::Attempt Denied;
     Denied.set_attempt_id(Id);
-    return sendRefusal(N, Peer, Denied, Code::NeverArrived, Outcome::None, Out);
+    return sendRefusal(Now, Peer, Denied, Code::NeverArrived, Outcome::None,
+                       Out);
   }
   Log.redirect(Id, Peer);
   for (const wire::AttemptEvent &E : Record->Events)
-    if (E.sequence() >= R.next_sequence()) {
+    if (E.sequence() >= Resume.next_sequence()) {
       Reply Action{Peer, envelope()};
       *Action.Message.mutable_event() = E;
       Out.emplace_back(std::move(Action));
     }
 }
 
-void SideMachine::onProbe(const Now &N, const std::string &Peer,
-                          const wire::Probe &P, Actions &Out) {
+void SideMachine::onProbe(const Now &Now, const std::string &Peer,
+                          const wire::Probe &Probe, Actions &Out) {
   Reply Action{Peer, envelope()};
-  wire::ProbeReply &R = *Action.Message.mutable_probe_reply();
-  R.set_probe_id(P.probe_id());
-  const auto Rank = Config->rankIndex(P.rank());
-  const uint64_t Hash = hash64(slotKey(P.adapter(), P.version()));
+  wire::ProbeReply &Answer = *Action.Message.mutable_probe_reply();
+  Answer.set_probe_id(Probe.probe_id());
+  const auto Rank = Config->rankIndex(Probe.rank());
+  const uint64_t Hash = hash64(slotKey(Probe.adapter(), Probe.version()));
   const auto Slot = Slots->find(Hash);
-  R.set_resident(Slots->ready(Hash));
-  R.set_loading(Slot && !Slots->ready(Hash));
-  R.set_wait_us(
+  Answer.set_resident(Slots->ready(Hash));
+  Answer.set_loading(Slot && !Slots->ready(Hash));
+  Answer.set_wait_us(
       static_cast<uint64_t>(expectedWait(Rank.value_or(0), Hash).count()));
-  const double Victim = Slots->victimValue(N.Steady, Demand);
-  R.set_victim_value(std::min(Victim, 1e9));
-  fillState(*R.mutable_state());
+  const double VictimValue = Slots->victimValue(Now.Steady, Demand);
+  Answer.set_victim_value(std::min(VictimValue, 1e9));
+  fillState(*Answer.mutable_state());
   Out.emplace_back(std::move(Action));
 }
 
-void SideMachine::onSuspectNotice(const Now &N, const wire::SuspectNotice &S,
+void SideMachine::onSuspectNotice(const Now &Now,
+                                  const wire::SuspectNotice &Notice,
                                   Actions &Out) {
-  const std::vector<uint64_t> Fingerprints(S.fingerprints().begin(),
-                                           S.fingerprints().end());
-  if (!S.cleared()) {
-    Suspects.noteCrash(N.Steady, S.crash_id(), Fingerprints);
-    return refuseSuspects(N, Out);
+  const std::vector<uint64_t> Fingerprints(Notice.fingerprints().begin(),
+                                           Notice.fingerprints().end());
+  if (!Notice.cleared()) {
+    Suspects.noteCrash(Now.Steady, Notice.crash_id(), Fingerprints);
+    return refuseSuspects(Now, Out);
   }
-  for (uint64_t F : Fingerprints)
-    Suspects.clear(F);
+  for (uint64_t Fingerprint : Fingerprints)
+    Suspects.clear(Fingerprint);
 }
 
-// Waiting attempts that have become suspect must not start as if nothing had
-// happened, or copies sent before the crash would take down more upstreams.
-void SideMachine::refuseSuspects(const Now &N, Actions &Out) {
+// Refuses waiting attempts that have become suspect. Copies of a request that
+// were sent before the crash would otherwise crash more upstreams.
+void SideMachine::refuseSuspects(const Now &Now, Actions &Out) {
   if (!Opts.isolateSuspects())
     return;
   std::vector<std::pair<std::string, Code>> Refused;
-  for (const auto &[Id, W] : Works) {
-    const Suspicion V = Suspects.verdict(N.Steady, W.Ask.fingerprint());
-    if (Runs.count(Id) || V == Suspicion::Clean)
+  for (const auto &[Id, Attempt] : ActiveAttempts) {
+    const Suspicion Verdict =
+        Suspects.verdict(Now.Steady, Attempt.Request.fingerprint());
+    if (Runs.count(Id) || Verdict == Suspicion::Clean)
       continue;
-    if (V == Suspicion::Quarantined)
+    if (Verdict == Suspicion::Quarantined)
       Refused.emplace_back(Id, Code::Quarantined);
-    else if (!W.Ask.isolated())
+    else if (!Attempt.Request.isolated())
       Refused.emplace_back(Id, Code::Interrupted);
   }
-  for (const auto &[Id, Why] : Refused)
-    refuseWork(N, Id, Why, Out);
+  for (const auto &[Id, Reason] : Refused)
+    refuseAttempt(Now, Id, Reason, Out);
 }
 
-void SideMachine::takeShard(const Now &N, uint32_t Shard,
+void SideMachine::takeShard(const Now &Now, uint32_t Shard,
                             uint64_t FencingNumber) {
-  Ledger.takeShard(Shard, N.Wall, FencingNumber);
+  Ledger.takeShard(Shard, Now.Wall, FencingNumber);
 }
 
 void SideMachine::dropShard(uint32_t Shard) { Ledger.dropShard(Shard); }
--- a/side/side_machine.h
+++ b/side/side_machine.h
@@ -1,13 +1,13 @@
-// The decisions of a side: the process beside one upstream. It alone admits
-// work to its upstream, starts it in order of rank, orders loads and
-// evictions, and remembers which keys ran. A state machine without I/O,
-// threads or clocks: each command takes the present time and appends what is
-// to be done to a list of actions.
+// The state machine of a side, the process that controls one upstream. Only the
+// side admits attempts to its upstream, starts them in rank order, loads and
+// evicts adapters, and records which idempotency keys ran. The state machine
+// does no I/O, starts no threads and reads no clock: each command takes the
+// present time and appends the resulting actions to a list.
 //
-//   SideMachine M(SideMachine::Options(), Declarations, "engine-1", Seed);
-//   Actions Out;
-//   M.onEnvelope(Now, Peer, Envelope, Out);
-//   for (Action &A : Out) perform(A);
+//   SideMachine Machine(SideMachine::Options(), Config, "engine-1",
+//   Incarnation); Actions Out; Machine.onEnvelope(Now, Peer, Message, Out); for
+//   (Action &A : Out)
+//     perform(A);
 #ifndef GOLDCRESTLINK_SIDE_SIDE_MACHINE_H
 #define GOLDCRESTLINK_SIDE_SIDE_MACHINE_H
 
@@ -33,32 +33,33 @@
 
 namespace goldcrestlink::side {
 
-/// Expected wait for a load while the store is not busy, in seconds.
-constexpr double UsualLoadWaitSeconds = 0.3;
+/// Expected wait for a load, in seconds, while the weight store is not busy.
+constexpr double BaselineLoadWaitSeconds = 0.3;
 
-/// How an upstream call ended without a whole answer.
+/// Why an upstream call ended without a complete answer.
 enum class RunError {
-  /// No byte of the call left: it did not run.
+  /// No byte of the call was sent, so it did not run.
   NotSent,
   /// The connection broke.
   Broken,
-  /// The connection stayed open but nothing came.
+  /// The connection stayed open but no data arrived before the time-out.
   Silent
 };
 
-/// What a check of the upstream on a fresh connection found.
+/// Result of a health check of the upstream on a new connection.
 struct UpstreamStatus {
   enum class Kind { Healthy, Refused, Silent } Is = Kind::Healthy;
-  /// Keys in the engine's slots by slot number; empty for a free slot.
+  /// Per slot of the engine, the "adapter@version" in it; empty if free.
   std::vector<std::string> SlotKeys;
 };
 
-/// What one rank's attempts waited for, cumulative.
+/// Starts and waits of one rank's attempts, cumulative since the start.
 struct RankCounters {
   std::string Rank;
   uint64_t Started = 0;
   uint64_t WaitedUs = 0;
-  /// Of these, attempts that had to wait for a load, and their whole wait.
+  /// The started attempts whose adapter was not loaded when they arrived, and
+  /// their total wait.
   uint64_t Stalled = 0;
   uint64_t StalledUs = 0;
 };
@@ -73,7 +74,8 @@
   uint64_t Loads = 0;
   uint64_t LoadFailures = 0;
   uint64_t Crashes = 0;
-  /// Sum, over all starts, of the attempts that then ran.
+  /// Sum over all starts of the number of running attempts, the started one
+  /// included. Divided by the starts it gives the mean concurrency.
   uint64_t RunningAtStarts = 0;
 };
 
@@ -94,33 +96,40 @@
     const KeyLedger::Options &ledger() const { return Ledger; }
     bool shareRanks() const { return ShareRanks; }
     bool evictByRecency() const { return EvictByRecency; }
-    Options &setCheckEvery(Duration D) {
-      CheckEvery = D;
+    /// Interval between health checks while the upstream is up.
+    Options &setCheckEvery(Duration Value) {
+      CheckEvery = Value;
       return *this;
     }
-    Options &setCheckWhenDown(Duration D) {
-      CheckWhenDown = D;
+    /// Interval between health checks while the upstream is down.
+    Options &setCheckWhenDown(Duration Value) {
+      CheckWhenDown = Value;
       return *this;
     }
-    Options &setStallTimeout(Duration D) {
-      StallTimeout = D;
+    /// Longest time without data in a streamed run before the call is cancelled
+    /// and the upstream is checked.
+    Options &setStallTimeout(Duration Value) {
+      StallTimeout = Value;
       return *this;
     }
-    Options &setMaxWaiting(size_t N) {
-      MaxWaiting = N;
+    Options &setMaxWaiting(size_t Value) {
+      MaxWaiting = Value;
       return *this;
     }
-    /// Ask a broker for load permits; off: load whenever a slot is free.
+    /// If on, loads need a permit from a broker; if off, an adapter is loaded
+    /// whenever a slot is free.
     Options &setBrokeredLoads(bool On) {
       BrokeredLoads = On;
       return *this;
     }
-    /// Evict the least recently used adapter; off: the one of least demand.
+    /// If on, evicts the least recently used adapter; if off, the adapter with
+    /// the least demand.
     Options &setEvictByRecency(bool On) {
       EvictByRecency = On;
       return *this;
     }
-    /// Rank order and shares; off: first in, first out.
+    /// If on, attempts are started by rank and share; if off, in order of
+    /// arrival.
     Options &setShareRanks(bool On) {
       ShareRanks = On;
       return *this;
@@ -135,7 +144,8 @@
     bool BrokeredLoads = true;
     bool ShareRanks = true;
     bool EvictByRecency = false;
-    // Always on outside tests, which switch one off to see its test fail.
+    // Protections. Only tests switch one off, to show that they fail without
+    // it.
     bool IsolateSuspects = true;
     bool PinSlots = true;
     bool CheckLease = true;
@@ -143,46 +153,59 @@
     KeyLedger::Options Ledger;
   };
 
-  /// \p Upstream is the declared upstream that the side stands beside; it may
-  /// be declared later. \p Seed makes identities unique between incarnations.
+  /// \p Upstream is the name of the upstream that the side controls; it may be
+  /// declared later. \p Incarnation distinguishes this process from earlier
+  /// ones of the side, so that crash ids are unique.
   SideMachine(Options O, std::shared_ptr<const Declarations> Config,
-              std::string Upstream, uint64_t Seed);
+              std::string Upstream, uint64_t Incarnation);
 
   // Commands.
 
-  /// New declarations are in force. Precondition: their generation is newer.
-  void onConfig(const Now &N, std::shared_ptr<const Declarations> Config,
+  /// Applies new declarations. Precondition: their generation is not older than
+  /// generation().
+  void onConfig(const Now &Now, std::shared_ptr<const Declarations> Config,
                 Actions &Out);
-  /// A message from an entry or another side.
-  void onEnvelope(const Now &N, const std::string &Peer,
+  /// Handles a message from an entry or another side.
+  void onEnvelope(const Now &Now, const std::string &Peer,
                   const wire::Envelope &Message, Actions &Out);
-  void onRunHead(const Now &N, const std::string &AttemptId, unsigned Status,
+
+  // Progress of a call requested by StartRun. Ignored if the call has ended,
+  // for example after CancelRun.
+  void onRunHead(const Now &Now, const std::string &AttemptId, unsigned Status,
                  std::string_view ContentType, Actions &Out);
-  void onRunData(const Now &N, const std::string &AttemptId,
+  void onRunData(const Now &Now, const std::string &AttemptId,
                  std::string_view Bytes, Actions &Out);
-  void onRunDone(const Now &N, const std::string &AttemptId, Actions &Out);
-  void onRunError(const Now &N, const std::string &AttemptId, RunError Error,
+  void onRunDone(const Now &Now, const std::string &AttemptId, Actions &Out);
+  void onRunError(const Now &Now, const std::string &AttemptId, RunError Error,
                   Actions &Out);
-  void onLoadDone(const Now &N, size_t Slot, const std::string &Key,
+
+  /// The load of \p Key into \p Slot ended; \p Loaded is false if it failed.
+  void onLoadDone(const Now &Now, size_t Slot, const std::string &Key,
                   bool Loaded, Actions &Out);
-  void onUpstreamCheck(const Now &N, const UpstreamStatus &Status,
+  /// Reports the result of CheckUpstream.
+  void onUpstreamCheck(const Now &Now, const UpstreamStatus &Status,
                        Actions &Out);
   /// To be called every few milliseconds.
-  void onTimer(const Now &N, Actions &Out);
-  /// Ownership of shards of the service's keys, as granted by the platform.
-  void takeShard(const Now &N, uint32_t Shard, uint64_t FencingNumber);
+  void onTimer(const Now &Now, Actions &Out);
+
+  // Changes of the shard lease; see the functions of the same names of
+  // KeyLedger.
+  void takeShard(const Now &Now, uint32_t Shard, uint64_t FencingNumber);
   void dropShard(uint32_t Shard);
   void extendLease(Time Until) { Ledger.extendLease(Until); }
   void endLease() { Ledger.endLease(); }
-  /// Who owns each shard, for hints to entries.
+
+  /// Sets the owner of each shard. Refusals with Code::NotOwner name the owner,
+  /// so that the entry can send the call there.
   void setShardOwners(std::unordered_map<uint32_t, std::string> Owners) {
     ShardOwners = std::move(Owners);
   }
-  /// Stop taking new work, or take it again; what was taken is finished.
+  /// While draining, new attempts are refused; admitted attempts are finished.
   void setDraining(bool On) { Draining = On; }
 
   // Queries.
 
+  /// True if no attempt waits or runs.
   bool drained() const { return Runs.empty() && Queue->size() == 0; }
   bool draining() const { return Draining; }
   bool upstreamDown() const { return Down; }
@@ -192,13 +215,14 @@
   const SlotTable &slots() const { return *Slots; }
   const KeyLedger &ledger() const { return Ledger; }
   uint64_t generation() const { return Config->generation(); }
-  /// The keyed calls that are waiting or running.
-  size_t keyedInProgress() const { return KeyHolder.size(); }
+  /// Number of calls with an idempotency key that wait or run.
+  size_t keyedInProgress() const { return AttemptByKey.size(); }
 
 private:
-  // An attempt that waits or runs.
-  struct Work {
-    wire::Attempt Ask;
+  // An attempt that waits or runs. Target and Deadline are on the steady clock;
+  // Service is the expected run time.
+  struct ActiveAttempt {
+    wire::Attempt Request;
     std::string SlotKey;
     uint64_t SlotHash = 0;
     size_t Rank = 0;
@@ -206,13 +230,13 @@
     Time Target;
     Time Deadline;
     Duration Service{};
-    // The adapter was not there when the attempt came.
-    bool Missed = false;
-    // Attempts of the same key that get the same answer.
+    // The adapter was not loaded when the attempt arrived.
+    bool NeededLoad = false;
+    // Ids of later attempts with the same key, which get the same answer.
     std::vector<std::string> Joined;
   };
 
-  // An attempt that the upstream runs.
+  // The upstream call of an attempt.
   struct Run {
     std::optional<size_t> Slot;
     std::optional<AnswerCheck> Check;
@@ -223,89 +247,95 @@
     std::string ContentType;
     std::string Body;
     bool HeadSent = false;
-    // The connection broke; the outcome waits for a check of the upstream.
+    // The connection broke. The check of the upstream decides the outcome.
     bool Broken = false;
-    // The caller has been told the end; the call goes on for its key's sake.
+    // The caller has been answered; the call continues because its key needs
+    // the result.
     bool Detached = false;
   };
 
-  using WorkMap = std::unordered_map<std::string, Work>;
+  using ActiveAttemptMap = std::unordered_map<std::string, ActiveAttempt>;
 
-  // Intake.
-  void onAttempt(const Now &N, const std::string &Peer, const wire::Attempt &A,
-                 Actions &Out);
-  void onCancel(const Now &N, const wire::Cancel &C, Actions &Out);
-  void onResume(const Now &N, const std::string &Peer, const wire::Resume &R,
-                Actions &Out);
-  void onProbe(const Now &N, const std::string &Peer, const wire::Probe &P,
-               Actions &Out);
-  void onSuspectNotice(const Now &N, const wire::SuspectNotice &S,
+  // Admission.
+  void onAttempt(const Now &Now, const std::string &Peer,
+                 const wire::Attempt &Request, Actions &Out);
+  void onCancel(const Now &Now, const wire::Cancel &Cancel, Actions &Out);
+  void onResume(const Now &Now, const std::string &Peer,
+                const wire::Resume &Resume, Actions &Out);
+  void onProbe(const Now &Now, const std::string &Peer,
+               const wire::Probe &Probe, Actions &Out);
+  void onSuspectNotice(const Now &Now, const wire::SuspectNotice &Notice,
                        Actions &Out);
-  void refuseSuspects(const Now &N, Actions &Out);
-  Code admissionProblem(const Now &N, const Work &W) const;
-  bool claimKey(const Now &N, const wire::Attempt &A, Actions &Out);
-  Work makeWork(const Now &N, const wire::Attempt &A, size_t Rank) const;
-  WaitingItem waitingItem(const Now &N, const Work &W) const;
-  void enqueue(const Now &N, Work W, Actions &Out);
-  Duration expectedService(const wire::Attempt &A) const;
-  Duration expectedWait(size_t Rank, uint64_t Slot) const;
-
-  // Running.
-  void startReady(const Now &N, Actions &Out);
+  void refuseSuspects(const Now &Now, Actions &Out);
+  Code admissionProblem(const Now &Now, const ActiveAttempt &Attempt) const;
+  bool claimKey(const Now &Now, const wire::Attempt &Request, Actions &Out);
+  ActiveAttempt makeActiveAttempt(const Now &Now, const wire::Attempt &Request,
+                                  size_t Rank) const;
+  WaitingItem waitingItem(const Now &Now, const ActiveAttempt &Attempt) const;
+  void enqueue(const Now &Now, ActiveAttempt Attempt, Actions &Out);
+  Duration expectedService(const wire::Attempt &Request) const;
+  Duration expectedWait(size_t Rank, uint64_t SlotHash) const;
+
+  // Runs.
+  void startReady(const Now &Now, Actions &Out);
   bool canStart(const WaitingItem &Item) const;
-  void startRun(const Now &N, const std::string &Id, Actions &Out);
-  void countStart(const Now &N, const Work &W);
+  void startRun(const Now &Now, const std::string &Id, Actions &Out);
+  void countStart(const Now &Now, const ActiveAttempt &Attempt);
   void endRun(const std::string &Id);
-  void finishWork(const Now &N, const std::string &Id, wire::AttemptEvent Last,
-                  Actions &Out);
-  void refuseWork(const Now &N, const std::string &Id, Code Why, Actions &Out);
-  void failWork(const Now &N, const std::string &Id, Code Why, Outcome Known,
-                bool Suspect, Actions &Out);
-  void learnFrom(const Now &N, const Run &R, const Work &W);
-  void relaxLoadWaits();
-  void expireWaiting(const Now &N, Actions &Out);
-  void expireRunning(const Now &N, Actions &Out);
-
-  // The upstream's health.
-  void requestCheck(const Now &N, Actions &Out);
-  void onCrash(const Now &N, Actions &Out);
-  void settleBroken(const Now &N, Actions &Out);
-  bool slotsAgree(const UpstreamStatus &Status) const;
-  void adoptSlots(const UpstreamStatus &Status);
+  void finishAttempt(const Now &Now, const std::string &Id,
+                     wire::AttemptEvent Last, Actions &Out);
+  void refuseAttempt(const Now &Now, const std::string &Id, Code Reason,
+                     Actions &Out);
+  void failAttempt(const Now &Now, const std::string &Id, Code Reason,
+                   Outcome KnownOutcome, bool Suspect, Actions &Out);
+  void updateServiceEstimate(const Now &Now, const Run &Ended,
+                             const ActiveAttempt &Attempt);
+  void decayLoadWaits();
+  void expireWaiting(const Now &Now, Actions &Out);
+  void expireRunning(const Now &Now, Actions &Out);
+
+  // Health of the upstream.
+  void requestCheck(const Now &Now, Actions &Out);
+  void onCrash(const Now &Now, Actions &Out);
+  void failBrokenRuns(const Now &Now, Actions &Out);
+  bool slotsMatch(const UpstreamStatus &Status) const;
+  void importEngineSlots(const UpstreamStatus &Status);
 
   // Loads.
-  std::vector<LoadWant> loadWants(const Now &N) const;
-  void planLoads(const Now &N, Actions &Out);
-  bool beginLoad(const Now &N, const LoadWant &Want, Actions &Out);
+  std::vector<LoadWant> loadWants(const Now &Now) const;
+  void planLoads(const Now &Now, Actions &Out);
+  bool beginLoad(const Now &Now, const LoadWant &Want, Actions &Out);
   size_t slotReserve(size_t Rank) const;
-  void onPermitRequest(const Now &N, const std::string &Peer,
-                       const wire::LoadPermitRequest &R, Actions &Out);
-  void onPermitGrant(const Now &N, const std::string &Peer,
-                     const wire::LoadPermitGrant &G, Actions &Out);
-  void grantPermits(const Now &N, Actions &Out);
+  void onPermitRequest(const Now &Now, const std::string &Peer,
+                       const wire::LoadPermitRequest &Request, Actions &Out);
+  void onPermitGrant(const Now &Now, const std::string &Peer,
+                     const wire::LoadPermitGrant &Grant, Actions &Out);
+  void grantPermits(const Now &Now, Actions &Out);
   void releasePermit(const std::string &Broker, uint64_t Adapter, bool Loaded,
                      Actions &Out);
 
   // Messages.
   wire::Envelope envelope() const;
-  void fillState(wire::SideState &S) const;
+  void fillState(wire::SideState &State) const;
   void sendEvent(const std::string &Id, wire::AttemptEvent Event, Actions &Out);
-  void sendRefusal(const Now &N, const std::string &Peer,
-                   const wire::Attempt &A, Code Why, Outcome Known,
-                   Actions &Out);
-  void tellCell(const wire::Envelope &Message, Actions &Out);
+  void sendRefusal(const Now &Now, const std::string &Peer,
+                   const wire::Attempt &Request, Code Reason,
+                   Outcome KnownOutcome, Actions &Out);
+  void broadcastToCell(const wire::Envelope &Message, Actions &Out);
   void log(LineClass Class, std::string Line, Actions &Out) const;
 
-  void adoptSelf();
+  void applyOwnDeclaration();
   void buildQueue();
   void buildLoads();
-  void requeue(const Now &N, Actions &Out);
+  void requeue(const Now &Now, Actions &Out);
   std::vector<std::string> brokerNames() const;
 
   Options Opts;
   std::shared_ptr<const Declarations> Config;
   std::string Upstream;
   uint64_t Incarnation;
+  // Last known declaration of the upstream; Declared tells whether the present
+  // configuration has it.
   UpstreamDecl Self;
   bool Declared = false;
   std::optional<RankQueue> Queue;
@@ -316,25 +346,27 @@
   KeyLedger Ledger;
   SuspectTable Suspects;
   AttemptLog Log;
-  WorkMap Works;
+  ActiveAttemptMap ActiveAttempts;
   std::unordered_map<std::string, Run> Runs;
-  // The attempt that holds each claimed key.
-  std::unordered_map<std::string, std::string> KeyHolder;
+  // For each claimed key, the id of the attempt that runs under it.
+  std::unordered_map<std::string, std::string> AttemptByKey;
   std::unordered_map<uint32_t, std::string> ShardOwners;
-  // Peer identity from which each side last asked for a permit.
+  // Per side, the identity of the peer that sent its last load request.
   std::unordered_map<std::string, std::string> PermitPeers;
-  // Broker that granted the load in progress of each adapter.
+  // Per adapter that is being loaded, the broker that granted the permit.
   std::unordered_map<uint64_t, std::string> LoadPermits;
   std::unordered_map<uint64_t, Time> LoadStarted;
+  // Number of running attempts that must run alone.
   size_t IsolatedRunning = 0;
   bool Draining = false;
   bool Down = false;
-  bool Checking = false;
+  bool CheckPending = false;
   Time NextCheck{};
   Time NextPlan{};
   Time NextExpiry{};
   uint64_t CrashCount = 0;
-  // Smoothed estimates.
+  // Exponentially smoothed estimates: time per output token of an engine, time
+  // per call of a service, and wait for a load per rank.
   double TokenSeconds = 0.03;
   double ServiceSeconds = 0.05;
   std::vector<double> LoadWaitSeconds;
@@ -348,7 +380,9 @@
     O.IsolateSuspects = false;
   }
   static void dropPins(SideMachine::Options &O) { O.PinSlots = false; }
-  static void dropLease(SideMachine::Options &O) { O.CheckLease = false; }
+  static void disableLeaseCheck(SideMachine::Options &O) {
+    O.CheckLease = false;
+  }
   static void dropAnswerCheck(SideMachine::Options &O) {
     O.CheckAnswers = false;
   }
--- a/side/side_runs.cc
+++ b/side/side_runs.cc
@@ -1,7 +1,8 @@
-// Starting, following and ending runs at the upstream, and judging what a
-// broken one means. A run that breaks is not judged alone: the upstream is
-// asked on a fresh connection first. If it is gone or has lost its adapters it
-// crashed, and all that ran is suspect; if it is well only that run failed.
+// Starts runs at the upstream, handles their data and ends them. When the
+// connection of a run breaks, the upstream is first checked on a new
+// connection. If it refuses the connection or has lost its adapters, it
+// crashed, and all running requests become suspect. If it is healthy, only that
+// run failed.
 #include <algorithm>
 #include <cassert>
 
@@ -12,8 +13,8 @@
 
 namespace {
 
-constexpr double Smoothing = 0.1;
-constexpr double LoadWaitRelaxation = 0.05;
+constexpr double EstimateSmoothing = 0.1;
+constexpr double LoadWaitDecay = 0.05;
 constexpr unsigned StatusOk = 200;
 constexpr unsigned StatusNotFound = 404;
 constexpr unsigned StatusPreconditionFailed = 412;
@@ -23,7 +24,7 @@
 constexpr Duration PlanInterval = std::chrono::milliseconds(20);
 
 double smooth(double Old, double Sample) {
-  return Old + Smoothing * (Sample - Old);
+  return Old + EstimateSmoothing * (Sample - Old);
 }
 
 } // namespace
@@ -41,11 +42,11 @@
   return Self.Kind == UpstreamKind::Service || Slots->ready(Item.Slot);
 }
 
-void SideMachine::startReady(const Now &N, Actions &Out) {
+void SideMachine::startReady(const Now &Now, Actions &Out) {
   if (Down)
     return;
-  // While a suspect waits with its adapter ready, others hold back until the
-  // engine is empty; otherwise a busy engine would never be.
+  // While a suspect waits and its adapter is ready, no other attempt starts. A
+  // suspect needs an empty engine, and a busy engine would never become empty.
   bool SuspectReady = false;
   for (size_t I = 0; I < Queue->ranks(); ++I)
     for (const WaitingItem &Item : Queue->waiting(I))
@@ -53,86 +54,88 @@
   const auto Eligible = [&](const WaitingItem &Item) {
     return (!SuspectReady || Item.Isolated) && canStart(Item);
   };
-  while (auto Item = Queue->pickNext(N.Steady, Eligible))
-    startRun(N, Item->AttemptId, Out);
+  while (auto Item = Queue->pickNext(Now.Steady, Eligible))
+    startRun(Now, Item->AttemptId, Out);
 }
 
-void SideMachine::startRun(const Now &N, const std::string &Id, Actions &Out) {
-  Work &W = Works.at(Id);
-  const wire::Attempt &A = W.Ask;
-  const bool Keyed = !A.idempotent();
-  if (Keyed && Opts.checkLease() && !Ledger.mayDispatch(N, A.key()))
-    return refuseWork(N, Id, Code::LeaseLapsed, Out);
-  Run R;
-  R.Started = N.Steady;
-  R.LastProgress = N.Steady;
+void SideMachine::startRun(const Now &Now, const std::string &Id,
+                           Actions &Out) {
+  ActiveAttempt &Attempt = ActiveAttempts.at(Id);
+  const wire::Attempt &Request = Attempt.Request;
+  const bool Keyed = !Request.idempotent();
+  if (Keyed && Opts.checkLease() && !Ledger.mayDispatch(Now, Request.key()))
+    return refuseAttempt(Now, Id, Code::LeaseLapsed, Out);
+  Run NewRun;
+  NewRun.Started = Now.Steady;
+  NewRun.LastProgress = Now.Steady;
   if (Self.Kind == UpstreamKind::Engine) {
-    R.Slot = Slots->find(W.SlotHash);
-    assert(R.Slot);
+    NewRun.Slot = Slots->find(Attempt.SlotHash);
+    assert(NewRun.Slot);
     if (Opts.pinSlots())
-      Slots->pin(*R.Slot);
-    R.Check.emplace(W.SlotKey, Id, A.stream());
-    IsolatedRunning += A.isolated() ? 1 : 0;
+      Slots->pin(*NewRun.Slot);
+    NewRun.Check.emplace(Attempt.SlotKey, Id, Request.stream());
+    IsolatedRunning += Request.isolated() ? 1 : 0;
   }
   StartRun Start;
   Start.AttemptId = Id;
-  Start.Method = A.method();
-  Start.Path = A.path();
-  Start.ContentType = A.content_type();
-  Start.Body = A.body();
+  Start.Method = Request.method();
+  Start.Path = Request.path();
+  Start.ContentType = Request.content_type();
+  Start.Body = Request.body();
   Start.OwnConnection = Keyed;
-  Start.IdempotencyKey = A.key();
+  Start.IdempotencyKey = Request.key();
   if (Keyed && Self.ChecksFencing) {
-    Start.FencingNumber = Ledger.fencingNumber(A.key());
-    Start.FencingScope = Ledger.shardOf(A.key());
+    Start.FencingNumber = Ledger.fencingNumber(Request.key());
+    Start.FencingScope = Ledger.shardOf(Request.key());
   }
-  Runs.emplace(Id, std::move(R));
-  countStart(N, W);
+  Runs.emplace(Id, std::move(NewRun));
+  countStart(Now, Attempt);
   Out.emplace_back(std::move(Start));
   log(LineClass::Routine,
-      "start attempt=" + Id + " request=" + A.request_id() +
-          " adapter=" + W.SlotKey + " rank=" + A.rank() +
-          " waited_us=" + std::to_string((N.Steady - W.Arrived).count()),
+      "start attempt=" + Id + " request=" + Request.request_id() + " adapter=" +
+          Attempt.SlotKey + " rank=" + Request.rank() + " waited_us=" +
+          std::to_string((Now.Steady - Attempt.Arrived).count()),
       Out);
 }
 
-void SideMachine::countStart(const Now &N, const Work &W) {
-  RankCounters &C = Counters.Ranks[W.Rank];
-  const auto Waited = static_cast<uint64_t>((N.Steady - W.Arrived).count());
+void SideMachine::countStart(const Now &Now, const ActiveAttempt &Attempt) {
+  RankCounters &C = Counters.Ranks[Attempt.Rank];
+  const auto Waited =
+      static_cast<uint64_t>((Now.Steady - Attempt.Arrived).count());
   ++C.Started;
   C.WaitedUs += Waited;
-  C.Stalled += W.Missed ? 1 : 0;
-  C.StalledUs += W.Missed ? Waited : 0;
+  C.Stalled += Attempt.NeededLoad ? 1 : 0;
+  C.StalledUs += Attempt.NeededLoad ? Waited : 0;
   Counters.RunningAtStarts += Runs.size();
 }
 
 void SideMachine::endRun(const std::string &Id) {
   const auto It = Runs.find(Id);
   assert(It != Runs.end());
-  const Work &W = Works.at(Id);
+  const ActiveAttempt &Attempt = ActiveAttempts.at(Id);
   if (It->second.Slot) {
     const size_t Slot = *It->second.Slot;
-    // The slots may have been cleared by a crash since.
-    if (Opts.pinSlots() && Slots->slots()[Slot].Hash == W.SlotHash &&
+    // A crash may have cleared the slots after the run was started.
+    if (Opts.pinSlots() && Slots->slots()[Slot].Hash == Attempt.SlotHash &&
         Slots->slots()[Slot].Pins > 0)
       Slots->unpin(Slot);
-    IsolatedRunning -= W.Ask.isolated() ? 1 : 0;
+    IsolatedRunning -= Attempt.Request.isolated() ? 1 : 0;
   }
   Runs.erase(It);
 }
 
-void SideMachine::onRunHead(const Now &N, const std::string &Id,
+void SideMachine::onRunHead(const Now &Now, const std::string &Id,
                             unsigned Status, std::string_view ContentType,
                             Actions &Out) {
   const auto It = Runs.find(Id);
   if (It == Runs.end())
     return;
   Run &R = It->second;
-  R.LastProgress = N.Steady;
+  R.LastProgress = Now.Steady;
   R.Status = Status;
   R.ContentType = ContentType;
-  const Work &W = Works.at(Id);
-  if (!W.Ask.stream() || Status != StatusOk || !R.Check)
+  const ActiveAttempt &Attempt = ActiveAttempts.at(Id);
+  if (!Attempt.Request.stream() || Status != StatusOk || !R.Check)
     return;
   wire::AttemptEvent Event;
   Event.set_kind(wire::AttemptEvent::HEAD);
@@ -142,16 +145,16 @@
   sendEvent(Id, std::move(Event), Out);
 }
 
-void SideMachine::onRunData(const Now &N, const std::string &Id,
+void SideMachine::onRunData(const Now &Now, const std::string &Id,
                             std::string_view Bytes, Actions &Out) {
   const auto It = Runs.find(Id);
   if (It == Runs.end())
     return;
   Run &R = It->second;
-  R.LastProgress = N.Steady;
+  R.LastProgress = Now.Steady;
   if (R.FirstData == Time{})
-    R.FirstData = N.Steady;
-  const Work &W = Works.at(Id);
+    R.FirstData = Now.Steady;
+  const ActiveAttempt &Attempt = ActiveAttempts.at(Id);
   const bool Checked = R.Check && R.Status == StatusOk;
   if (!Checked) {
     R.Body.append(Bytes);
@@ -161,9 +164,9 @@
   if (!R.Check->feed(Bytes, Part) && Opts.checkAnswers()) {
     Out.emplace_back(CancelRun{Id});
     endRun(Id);
-    return failWork(N, Id, Code::WrongAdapter, Outcome::Ran, false, Out);
+    return failAttempt(Now, Id, Code::WrongAdapter, Outcome::Ran, false, Out);
   }
-  if (!W.Ask.stream() || Part.empty())
+  if (!Attempt.Request.stream() || Part.empty())
     return;
   wire::AttemptEvent Event;
   Event.set_kind(wire::AttemptEvent::DATA);
@@ -171,127 +174,134 @@
   sendEvent(Id, std::move(Event), Out);
 }
 
-void SideMachine::learnFrom(const Now &N, const Run &R, const Work &W) {
+void SideMachine::updateServiceEstimate(const Now &Now, const Run &Ended,
+                                        const ActiveAttempt &Attempt) {
   if (Self.Kind == UpstreamKind::Service) {
-    ServiceSeconds = smooth(ServiceSeconds, seconds(N.Steady - R.Started));
+    ServiceSeconds =
+        smooth(ServiceSeconds, seconds(Now.Steady - Ended.Started));
     return;
   }
-  const size_t Tokens = W.Ask.stream() ? R.Check->events() : W.Ask.max_tokens();
+  const size_t Tokens = Attempt.Request.stream() ? Ended.Check->events()
+                                                 : Attempt.Request.max_tokens();
   if (Tokens > 0)
-    TokenSeconds = smooth(TokenSeconds, seconds(N.Steady - R.Started) /
+    TokenSeconds = smooth(TokenSeconds, seconds(Now.Steady - Ended.Started) /
                                             static_cast<double>(Tokens));
 }
 
-void SideMachine::onRunDone(const Now &N, const std::string &Id, Actions &Out) {
+void SideMachine::onRunDone(const Now &Now, const std::string &Id,
+                            Actions &Out) {
   const auto It = Runs.find(Id);
   if (It == Runs.end())
     return;
-  Run R = std::move(It->second);
-  const Work &W = Works.at(Id);
+  Run Ended = std::move(It->second);
+  const ActiveAttempt &Attempt = ActiveAttempts.at(Id);
   endRun(Id);
   wire::AttemptEvent Last;
-  if (R.Status == StatusNotFound && R.Check) {
-    // The engine lost the adapter: it restarted without telling.
-    requestCheck(N, Out);
-    return refuseWork(N, Id, Code::Interrupted, Out);
+  if (Ended.Status == StatusNotFound && Ended.Check) {
+    // The engine does not have the adapter, so it restarted unnoticed.
+    requestCheck(Now, Out);
+    return refuseAttempt(Now, Id, Code::Interrupted, Out);
   }
-  if (R.Status == StatusUnavailable && R.Check)
-    return refuseWork(N, Id, Code::Overloaded, Out);
-  if (R.Status == StatusPreconditionFailed && Self.ChecksFencing &&
-      !W.Ask.idempotent())
-    return refuseWork(N, Id, Code::StaleFencing, Out);
+  if (Ended.Status == StatusUnavailable && Ended.Check)
+    return refuseAttempt(Now, Id, Code::Overloaded, Out);
+  if (Ended.Status == StatusPreconditionFailed && Self.ChecksFencing &&
+      !Attempt.Request.idempotent())
+    return refuseAttempt(Now, Id, Code::StaleFencing, Out);
   std::string Rest;
-  if (R.Check && R.Status == StatusOk && !R.Check->complete(Rest) &&
+  if (Ended.Check && Ended.Status == StatusOk && !Ended.Check->complete(Rest) &&
       Opts.checkAnswers())
-    return failWork(N, Id, Code::WrongAdapter, Outcome::Ran, false, Out);
-  if (R.Check && R.Status == StatusOk)
-    learnFrom(N, R, W);
-  if (!R.Check) {
-    learnFrom(N, R, W);
-    Rest = std::move(R.Body);
-  } else if (R.Status != StatusOk) {
-    Rest = std::move(R.Body);
+    return failAttempt(Now, Id, Code::WrongAdapter, Outcome::Ran, false, Out);
+  if (Ended.Check && Ended.Status == StatusOk)
+    updateServiceEstimate(Now, Ended, Attempt);
+  if (!Ended.Check) {
+    updateServiceEstimate(Now, Ended, Attempt);
+    Rest = std::move(Ended.Body);
+  } else if (Ended.Status != StatusOk) {
+    Rest = std::move(Ended.Body);
   }
-  if (Suspects.verdict(N.Steady, W.Ask.fingerprint()) == Suspicion::Suspect) {
-    Suspects.clear(W.Ask.fingerprint());
+  if (Suspects.verdict(Now.Steady, Attempt.Request.fingerprint()) ==
+      Suspicion::Suspect) {
+    Suspects.clear(Attempt.Request.fingerprint());
     wire::Envelope Notice = envelope();
-    Notice.mutable_suspect_notice()->add_fingerprints(W.Ask.fingerprint());
+    Notice.mutable_suspect_notice()->add_fingerprints(
+        Attempt.Request.fingerprint());
     Notice.mutable_suspect_notice()->set_cleared(true);
-    tellCell(Notice, Out);
+    broadcastToCell(Notice, Out);
   }
   Last.set_kind(wire::AttemptEvent::DONE);
   Last.set_outcome(wire::OUTCOME_RAN);
-  if (!R.HeadSent) {
-    Last.set_status(R.Status);
-    Last.set_content_type(R.ContentType);
+  if (!Ended.HeadSent) {
+    Last.set_status(Ended.Status);
+    Last.set_content_type(Ended.ContentType);
   }
   Last.set_data(std::move(Rest));
   ++Counters.Finished;
-  finishWork(N, Id, std::move(Last), Out);
-  startReady(N, Out);
+  finishAttempt(Now, Id, std::move(Last), Out);
+  startReady(Now, Out);
 }
 
-void SideMachine::onRunError(const Now &N, const std::string &Id,
+void SideMachine::onRunError(const Now &Now, const std::string &Id,
                              RunError Error, Actions &Out) {
   const auto It = Runs.find(Id);
   if (It == Runs.end())
     return;
-  requestCheck(N, Out);
+  requestCheck(Now, Out);
   if (Error == RunError::NotSent) {
     endRun(Id);
-    return refuseWork(N, Id, Code::UpstreamDown, Out);
+    return refuseAttempt(Now, Id, Code::UpstreamDown, Out);
   }
   if (!It->second.Check) {
-    // A plain service's call may have run; nothing more can be learnt.
+    // A call to a plain service may have run; a check cannot decide it.
     endRun(Id);
-    return failWork(N, Id, Code::UpstreamError, Outcome::Unknown, false, Out);
+    return failAttempt(Now, Id, Code::UpstreamError, Outcome::Unknown, false,
+                       Out);
   }
   It->second.Broken = true;
 }
 
-void SideMachine::requestCheck(const Now &N, Actions &Out) {
-  if (Checking)
+void SideMachine::requestCheck(const Now &Now, Actions &Out) {
+  if (CheckPending)
     return;
-  Checking = true;
-  NextCheck = N.Steady + Opts.checkEvery();
+  CheckPending = true;
+  NextCheck = Now.Steady + Opts.checkEvery();
   Out.emplace_back(CheckUpstream{});
 }
 
-bool SideMachine::slotsAgree(const UpstreamStatus &Status) const {
-  const auto &Mine = Slots->slots();
-  for (size_t I = 0; I < Mine.size(); ++I) {
-    const std::string Theirs =
+bool SideMachine::slotsMatch(const UpstreamStatus &Status) const {
+  const auto &OwnSlots = Slots->slots();
+  for (size_t I = 0; I < OwnSlots.size(); ++I) {
+    const std::string EngineKey =
         I < Status.SlotKeys.size() ? Status.SlotKeys[I] : std::string();
-    if (Mine[I].State == SlotState::Ready && Mine[I].Key != Theirs)
+    if (OwnSlots[I].State == SlotState::Ready && OwnSlots[I].Key != EngineKey)
       return false;
   }
   return true;
 }
 
-void SideMachine::onUpstreamCheck(const Now &N, const UpstreamStatus &Status,
+void SideMachine::onUpstreamCheck(const Now &Now, const UpstreamStatus &Status,
                                   Actions &Out) {
-  Checking = false;
+  CheckPending = false;
   using Kind = UpstreamStatus::Kind;
-  const bool Lost = Status.Is == Kind::Healthy && !slotsAgree(Status);
-  if (Status.Is == Kind::Refused || Lost)
-    onCrash(N, Out);
+  const bool LostAdapters = Status.Is == Kind::Healthy && !slotsMatch(Status);
+  if (Status.Is == Kind::Refused || LostAdapters)
+    onCrash(Now, Out);
   else
-    settleBroken(N, Out);
+    failBrokenRuns(Now, Out);
   const bool WasDown = Down;
   Down = Status.Is != Kind::Healthy;
-  NextCheck = N.Steady + (Down ? Opts.checkWhenDown() : Opts.checkEvery());
+  NextCheck = Now.Steady + (Down ? Opts.checkWhenDown() : Opts.checkEvery());
   if (Down != WasDown)
     log(LineClass::Kept, std::string("upstream ") + (Down ? "down" : "up"),
         Out);
   if (Down)
     return;
-  if (Lost || WasDown)
-    adoptSlots(Status);
-  startReady(N, Out);
+  if (LostAdapters || WasDown)
+    importEngineSlots(Status);
+  startReady(Now, Out);
 }
 
-// Takes over what a restarted engine still or already holds.
-void SideMachine::adoptSlots(const UpstreamStatus &Status) {
+// Records the adapters that a restarted engine reports in its slots.
+void SideMachine::importEngineSlots(const UpstreamStatus &Status) {
   const size_t Count = std::min(Slots->slots().size(), Status.SlotKeys.size());
   for (size_t I = 0; I < Count; ++I) {
     const std::string &Key = Status.SlotKeys[I];
@@ -303,174 +313,178 @@
   }
 }
 
-// The upstream is well: only the broken runs failed.
-void SideMachine::settleBroken(const Now &N, Actions &Out) {
+// Called when a check did not find a crash: only the broken runs failed.
+void SideMachine::failBrokenRuns(const Now &Now, Actions &Out) {
   std::vector<std::string> Broken;
   for (const auto &[Id, R] : Runs)
     if (R.Broken)
       Broken.push_back(Id);
   for (const std::string &Id : Broken) {
     endRun(Id);
-    failWork(N, Id, Code::Interrupted, Outcome::Unknown, false, Out);
+    failAttempt(Now, Id, Code::Interrupted, Outcome::Unknown, false, Out);
   }
 }
 
-void SideMachine::onCrash(const Now &N, Actions &Out) {
+void SideMachine::onCrash(const Now &Now, Actions &Out) {
   Slots->clear();
   LoadPermits.clear();
   LoadStarted.clear();
-  std::vector<std::string> Ran;
+  std::vector<std::string> Running;
   for (const auto &[Id, R] : Runs)
     if (R.Check)
-      Ran.push_back(Id);
-  if (Ran.empty())
+      Running.push_back(Id);
+  if (Running.empty())
     return;
   ++Counters.Crashes;
   std::vector<uint64_t> Fingerprints;
-  for (const std::string &Id : Ran)
-    Fingerprints.push_back(Works.at(Id).Ask.fingerprint());
+  for (const std::string &Id : Running)
+    Fingerprints.push_back(ActiveAttempts.at(Id).Request.fingerprint());
   const std::string CrashId = Upstream + "/" + std::to_string(Incarnation) +
                               "/" + std::to_string(++CrashCount);
-  Suspects.noteCrash(N.Steady, CrashId, Fingerprints);
+  Suspects.noteCrash(Now.Steady, CrashId, Fingerprints);
   wire::Envelope Notice = envelope();
-  wire::SuspectNotice &S = *Notice.mutable_suspect_notice();
-  S.set_upstream(Upstream);
-  S.set_crash_id(CrashId);
-  for (uint64_t F : Fingerprints)
-    S.add_fingerprints(F);
-  tellCell(Notice, Out);
+  wire::SuspectNotice &Suspected = *Notice.mutable_suspect_notice();
+  Suspected.set_upstream(Upstream);
+  Suspected.set_crash_id(CrashId);
+  for (uint64_t Fingerprint : Fingerprints)
+    Suspected.add_fingerprints(Fingerprint);
+  broadcastToCell(Notice, Out);
   log(LineClass::Kept,
-      "crash id=" + CrashId + " suspects=" + std::to_string(Ran.size()), Out);
-  for (const std::string &Id : Ran) {
+      "crash id=" + CrashId + " suspects=" + std::to_string(Running.size()),
+      Out);
+  for (const std::string &Id : Running) {
     Out.emplace_back(CancelRun{Id});
     endRun(Id);
-    failWork(N, Id, Code::UpstreamCrashed, Outcome::Unknown, true, Out);
+    failAttempt(Now, Id, Code::UpstreamCrashed, Outcome::Unknown, true, Out);
   }
-  refuseSuspects(N, Out);
+  refuseSuspects(Now, Out);
 }
 
-void SideMachine::finishWork(const Now &N, const std::string &Id,
-                             wire::AttemptEvent Last, Actions &Out) {
-  const auto It = Works.find(Id);
-  assert(It != Works.end());
-  const Work W = std::move(It->second);
-  Works.erase(It);
-  const std::string &Key = W.Ask.key();
-  if (!W.Ask.idempotent()) {
-    KeyHolder.erase(Key);
+void SideMachine::finishAttempt(const Now &Now, const std::string &Id,
+                                wire::AttemptEvent Last, Actions &Out) {
+  const auto It = ActiveAttempts.find(Id);
+  assert(It != ActiveAttempts.end());
+  const ActiveAttempt Attempt = std::move(It->second);
+  ActiveAttempts.erase(It);
+  const std::string &Key = Attempt.Request.key();
+  if (!Attempt.Request.idempotent()) {
+    AttemptByKey.erase(Key);
     if (Last.kind() == wire::AttemptEvent::DONE)
       Ledger.finish(Key,
                     {Last.status(), Last.content_type(), Last.data(), true});
     else if (Last.kind() == wire::AttemptEvent::REFUSED)
-      Ledger.release(N, Key);
+      Ledger.release(Now, Key);
     else
-      Ledger.lose(Key);
+      Ledger.markLost(Key);
   }
-  for (const std::string &Joined : W.Joined) {
-    const AttemptLog::Record *R = Log.find(Joined);
-    if (!R || R->Closed)
+  for (const std::string &Joined : Attempt.Joined) {
+    const AttemptLog::Record *Record = Log.find(Joined);
+    if (!Record || Record->Closed)
       continue;
     sendEvent(Joined, Last, Out);
-    Log.close(N.Steady, Joined);
+    Log.close(Now.Steady, Joined);
   }
-  const AttemptLog::Record *R = Log.find(Id);
-  if (!R || R->Closed)
-    return; // The caller was told before; only its key needed the end.
+  const AttemptLog::Record *Record = Log.find(Id);
+  if (!Record || Record->Closed)
+    return; // The caller has been answered; only the key needed the result.
   sendEvent(Id, std::move(Last), Out);
-  Log.close(N.Steady, Id);
+  Log.close(Now.Steady, Id);
 }
 
-void SideMachine::refuseWork(const Now &N, const std::string &Id, Code Why,
-                             Actions &Out) {
+void SideMachine::refuseAttempt(const Now &Now, const std::string &Id,
+                                Code Reason, Actions &Out) {
   ++Counters.Refused;
   Queue->remove(Id);
-  const Work &W = Works.at(Id);
+  const ActiveAttempt &Attempt = ActiveAttempts.at(Id);
   log(LineClass::Kept,
-      "refused attempt=" + Id + " request=" + W.Ask.request_id() +
-          " adapter=" + W.SlotKey + " rank=" + W.Ask.rank() +
-          " reason=" + std::string(codeName(Why)),
+      "refused attempt=" + Id + " request=" + Attempt.Request.request_id() +
+          " adapter=" + Attempt.SlotKey + " rank=" + Attempt.Request.rank() +
+          " reason=" + std::string(codeName(Reason)),
       Out);
   wire::AttemptEvent Last;
   Last.set_kind(wire::AttemptEvent::REFUSED);
-  Last.set_code(std::string(codeName(Why)));
+  Last.set_code(std::string(codeName(Reason)));
   Last.set_outcome(wire::OUTCOME_NOT_RUN);
-  Last.set_suspect(Suspects.verdict(N.Steady, W.Ask.fingerprint()) ==
-                   Suspicion::Suspect);
-  finishWork(N, Id, std::move(Last), Out);
+  Last.set_suspect(
+      Suspects.verdict(Now.Steady, Attempt.Request.fingerprint()) ==
+      Suspicion::Suspect);
+  finishAttempt(Now, Id, std::move(Last), Out);
 }
 
-void SideMachine::failWork(const Now &N, const std::string &Id, Code Why,
-                           Outcome Known, bool Suspect, Actions &Out) {
+void SideMachine::failAttempt(const Now &Now, const std::string &Id,
+                              Code Reason, Outcome KnownOutcome, bool Suspect,
+                              Actions &Out) {
   ++Counters.Failed;
   wire::AttemptEvent Last;
   Last.set_kind(wire::AttemptEvent::FAILED);
-  Last.set_code(std::string(codeName(Why)));
-  Last.set_outcome(static_cast<wire::Outcome>(Known));
+  Last.set_code(std::string(codeName(Reason)));
+  Last.set_outcome(static_cast<wire::Outcome>(KnownOutcome));
   Last.set_suspect(Suspect);
   log(LineClass::Kept,
-      "failed attempt=" + Id + " reason=" + std::string(codeName(Why)), Out);
-  finishWork(N, Id, std::move(Last), Out);
+      "failed attempt=" + Id + " reason=" + std::string(codeName(Reason)), Out);
+  finishAttempt(Now, Id, std::move(Last), Out);
 }
 
-// Without loads there are no samples: expected waits drift back to the usual,
-// or a past rush would keep refusing work for ever.
-void SideMachine::relaxLoadWaits() {
+// Moves the expected load waits towards the baseline. Without this, estimates
+// from a past peak would cause refusals for ever: refused attempts cause no
+// loads, and without loads there are no new samples.
+void SideMachine::decayLoadWaits() {
   for (double &Wait : LoadWaitSeconds)
-    Wait += LoadWaitRelaxation * (UsualLoadWaitSeconds - Wait);
+    Wait += LoadWaitDecay * (BaselineLoadWaitSeconds - Wait);
 }
 
-void SideMachine::expireWaiting(const Now &N, Actions &Out) {
+void SideMachine::expireWaiting(const Now &Now, Actions &Out) {
   if (Opts.shareRanks())
-    for (const WaitingItem &Item : Queue->takeHopeless(N.Steady))
-      refuseWork(N, Item.AttemptId, Code::DeadlineUnreachable, Out);
+    for (const WaitingItem &Item : Queue->takeHopeless(Now.Steady))
+      refuseAttempt(Now, Item.AttemptId, Code::DeadlineUnreachable, Out);
   std::vector<std::string> Late;
-  for (const auto &[Id, W] : Works)
-    if (W.Deadline <= N.Steady && !Runs.count(Id))
+  for (const auto &[Id, Attempt] : ActiveAttempts)
+    if (Attempt.Deadline <= Now.Steady && !Runs.count(Id))
       Late.push_back(Id);
   for (const std::string &Id : Late)
-    refuseWork(N, Id, Code::DeadlineExceeded, Out);
+    refuseAttempt(Now, Id, Code::DeadlineExceeded, Out);
 }
 
-void SideMachine::expireRunning(const Now &N, Actions &Out) {
+void SideMachine::expireRunning(const Now &Now, Actions &Out) {
   std::vector<std::string> Late;
   std::vector<std::string> Stalled;
   for (const auto &[Id, R] : Runs) {
     if (!R.Check || R.Broken)
       continue;
-    if (Works.at(Id).Deadline <= N.Steady)
+    if (ActiveAttempts.at(Id).Deadline <= Now.Steady)
       Late.push_back(Id);
-    else if (Works.at(Id).Ask.stream() &&
-             N.Steady - R.LastProgress > Opts.stallTimeout())
+    else if (ActiveAttempts.at(Id).Request.stream() &&
+             Now.Steady - R.LastProgress > Opts.stallTimeout())
       Stalled.push_back(Id);
   }
   for (const std::string &Id : Late) {
     Out.emplace_back(CancelRun{Id});
     endRun(Id);
-    failWork(N, Id, Code::DeadlineExceeded, Outcome::Unknown, false, Out);
+    failAttempt(Now, Id, Code::DeadlineExceeded, Outcome::Unknown, false, Out);
   }
   for (const std::string &Id : Stalled) {
     Out.emplace_back(CancelRun{Id});
     Runs.at(Id).Broken = true;
-    requestCheck(N, Out);
+    requestCheck(Now, Out);
   }
 }
 
-void SideMachine::onTimer(const Now &N, Actions &Out) {
-  if (N.Steady >= NextExpiry) {
-    NextExpiry = N.Steady + ExpiryInterval;
-    Ledger.expire(N);
-    Log.expire(N.Steady);
-    relaxLoadWaits();
-    expireWaiting(N, Out);
-    expireRunning(N, Out);
+void SideMachine::onTimer(const Now &Now, Actions &Out) {
+  if (Now.Steady >= NextExpiry) {
+    NextExpiry = Now.Steady + ExpiryInterval;
+    Ledger.expire(Now);
+    Log.expire(Now.Steady);
+    decayLoadWaits();
+    expireWaiting(Now, Out);
+    expireRunning(Now, Out);
   }
-  if (N.Steady >= NextCheck)
-    requestCheck(N, Out);
-  if (N.Steady >= NextPlan) {
-    NextPlan = N.Steady + PlanInterval;
-    startReady(N, Out);
-    planLoads(N, Out);
-    grantPermits(N, Out);
+  if (Now.Steady >= NextCheck)
+    requestCheck(Now, Out);
+  if (Now.Steady >= NextPlan) {
+    NextPlan = Now.Steady + PlanInterval;
+    startReady(Now, Out);
+    planLoads(Now, Out);
+    grantPermits(Now, Out);
   }
 }
 
--- a/side/testing/side_machine_test.cc
+++ b/side/testing/side_machine_test.cc
@@ -1,4 +1,4 @@
-// Contract tests of a side's decisions, one fault at a time.
+// Tests of the decisions of a side, most of them with one injected fault.
 #include <doctest/doctest.h>
 
 #include "base/hash.h"
@@ -9,21 +9,22 @@
 
 namespace {
 
-const char *Text = "[policy]\nshards_per_service = 1\nclock_skew_ms = 0\n"
-                   "[rank urgent]\npriority = 0\ntarget_ms = 4000\n"
-                   "deadline_ms = 8000\nshare = 0.5\n"
-                   "[rank bulk]\npriority = 1\ntarget_ms = 9000\nshare = 0.2\n"
-                   "[engine e]\nmodel = oak\ndata_center = d\nslots = 2\n"
-                   "max_concurrent = 2\nside = 127.0.0.1:1\n"
-                   "address = 127.0.0.1:2\n"
-                   "[service s]\nservice = ledger\ndata_center = d\n"
-                   "max_concurrent = 1\nside = 127.0.0.1:3\n"
-                   "address = 127.0.0.1:4\n"
-                   "[adapter a]\nmodel = oak\nversions = 1 2\n";
+const char *ConfigText =
+    "[policy]\nshards_per_service = 1\nclock_skew_ms = 0\n"
+    "[rank urgent]\npriority = 0\ntarget_ms = 4000\n"
+    "deadline_ms = 8000\nshare = 0.5\n"
+    "[rank bulk]\npriority = 1\ntarget_ms = 9000\nshare = 0.2\n"
+    "[engine e]\nmodel = oak\ndata_center = d\nslots = 2\n"
+    "max_concurrent = 2\nside = 127.0.0.1:1\n"
+    "address = 127.0.0.1:2\n"
+    "[service s]\nservice = ledger\ndata_center = d\n"
+    "max_concurrent = 1\nside = 127.0.0.1:3\n"
+    "address = 127.0.0.1:4\n"
+    "[adapter a]\nmodel = oak\nversions = 1 2\n";
 
 std::shared_ptr<const Declarations> config(uint64_t Generation = 1) {
   FindingList Findings;
-  return Declarations::parse({{"t.ini", Text}}, Generation, Findings);
+  return Declarations::parse({{"t.ini", ConfigText}}, Generation, Findings);
 }
 
 Now at(int64_t Ms) {
@@ -31,12 +32,13 @@
           WallTime(std::chrono::milliseconds(100000 + Ms))};
 }
 
-// A machine with helpers to talk to it and to look at what it wants done.
-struct Bench {
-  explicit Bench(const char *Upstream, SideMachine::Options O = {})
+// A state machine with helpers that send messages to it and inspect the actions
+// it requested.
+struct SideFixture {
+  explicit SideFixture(const char *Upstream, SideMachine::Options O = {})
       : Machine(O, config(), Upstream, 7) {}
 
-  void attempt(int64_t Ms, const std::string &Id, wire::Attempt A) {
+  void sendAttempt(int64_t Ms, const std::string &Id, wire::Attempt A) {
     A.set_attempt_id(Id);
     A.set_request_id("r" + Id);
     A.set_rank("urgent");
@@ -45,11 +47,11 @@
     A.set_target_left_us(4000000);
     wire::Envelope E;
     *E.mutable_attempt() = std::move(A);
-    envelope(Ms, E);
+    receive(Ms, E);
   }
 
-  void completion(int64_t Ms, const std::string &Id, const char *Version = "1",
-                  uint64_t Fingerprint = 1) {
+  void sendCompletion(int64_t Ms, const std::string &Id,
+                      const char *Version = "1", uint64_t Fingerprint = 1) {
     wire::Attempt A;
     A.set_upstream("e");
     A.set_adapter("a");
@@ -58,10 +60,11 @@
     A.set_stream(true);
     A.set_max_tokens(10);
     A.set_fingerprint(Fingerprint);
-    attempt(Ms, Id, A);
+    sendAttempt(Ms, Id, A);
   }
 
-  void order(int64_t Ms, const std::string &Id, const std::string &Key) {
+  void sendKeyedCall(int64_t Ms, const std::string &Id,
+                     const std::string &Key) {
     wire::Attempt A;
     A.set_upstream("s");
     A.set_key(Key);
@@ -69,22 +72,23 @@
     A.set_received_ms(unixMillis(at(Ms).Wall));
     A.set_method("POST");
     A.set_path("/orders");
-    attempt(Ms, Id, A);
+    sendAttempt(Ms, Id, A);
   }
 
-  void envelope(int64_t Ms, const wire::Envelope &E,
-                const std::string &Peer = "p") {
+  void receive(int64_t Ms, const wire::Envelope &E,
+               const std::string &Peer = "p") {
     Machine.onEnvelope(at(Ms), Peer, E, Out);
   }
 
-  void load(int64_t Ms) {
+  void completeLoads(int64_t Ms) {
     grantPermits(Ms);
     for (const Action &A : Actions(Out))
       if (const auto *L = std::get_if<LoadAdapter>(&A))
         Machine.onLoadDone(at(Ms), L->Slot, L->Key, true, Out);
   }
 
-  // Plays broker for itself, as the only engine of its cell.
+  // Delivers permit messages back to the state machine, which is its own broker
+  // as the only engine of its cell.
   void grantPermits(int64_t Ms) {
     for (int Round = 0; Round < 3; ++Round)
       for (const Action &A : Actions(std::move(Out))) {
@@ -99,14 +103,14 @@
   }
 
   template <class Kind> size_t count() const {
-    size_t N = 0;
+    size_t Count = 0;
     for (const Action &A : Out)
-      N += std::holds_alternative<Kind>(A) ? 1 : 0;
-    return N;
+      Count += std::holds_alternative<Kind>(A) ? 1 : 0;
+    return Count;
   }
 
-  // The last event for an attempt.
-  wire::AttemptEvent last(const std::string &Id) const {
+  // The last event sent for the attempt.
+  wire::AttemptEvent lastEvent(const std::string &Id) const {
     wire::AttemptEvent Found;
     for (const Action &A : Out)
       if (const auto *R = std::get_if<Reply>(&A))
@@ -121,47 +125,49 @@
 
 } // namespace
 
-TEST_CASE("a keyed call is not dispatched once the lease has lapsed") {
-  for (const bool Protected : {true, false}) {
+TEST_CASE("a keyed call is not started after the shard lease has expired") {
+  for (const bool LeaseChecked : {true, false}) {
     SideMachine::Options O;
-    if (!Protected)
-      SideMutation::dropLease(O);
-    Bench B("s", O);
-    B.Machine.takeShard(at(-10), 0, 1);
-    B.Machine.extendLease(at(1000).Steady);
-    B.order(0, "1", "first");
-    B.order(10, "2", "second"); // Waits: the service takes one at a time.
-    CHECK(B.count<StartRun>() == 1);
-    // The side is paused past its lease; then the first call's end is seen.
-    B.Machine.onRunHead(at(1500), "1", 200, "", B.Out);
-    B.Machine.onRunDone(at(1500), "1", B.Out);
-    CHECK(B.count<StartRun>() == (Protected ? 1 : 2));
-    if (Protected) {
-      CHECK(B.last("2").code() == "lease_lapsed");
-      CHECK(B.last("2").outcome() == wire::OUTCOME_NOT_RUN);
+    if (!LeaseChecked)
+      SideMutation::disableLeaseCheck(O);
+    SideFixture Side("s", O);
+    Side.Machine.takeShard(at(-10), 0, 1);
+    Side.Machine.extendLease(at(1000).Steady);
+    Side.sendKeyedCall(0, "1", "first");
+    // Waits, because the service runs one call at a time.
+    Side.sendKeyedCall(10, "2", "second");
+    CHECK(Side.count<StartRun>() == 1);
+    // The process is paused until its lease has expired. Then it receives the
+    // end of the first call, which would start the second one.
+    Side.Machine.onRunHead(at(1500), "1", 200, "", Side.Out);
+    Side.Machine.onRunDone(at(1500), "1", Side.Out);
+    CHECK(Side.count<StartRun>() == (LeaseChecked ? 1 : 2));
+    if (LeaseChecked) {
+      CHECK(Side.lastEvent("2").code() == "lease_lapsed");
+      CHECK(Side.lastEvent("2").outcome() == wire::OUTCOME_NOT_RUN);
     }
   }
 }
 
 TEST_CASE("a second submission of a key joins the first") {
-  Bench B("s");
-  B.Machine.takeShard(at(-10), 0, 1);
-  B.Machine.extendLease(at(10000).Steady);
-  B.order(0, "1", "key");
+  SideFixture Side("s");
+  Side.Machine.takeShard(at(-10), 0, 1);
+  Side.Machine.extendLease(at(10000).Steady);
+  Side.sendKeyedCall(0, "1", "key");
   wire::Attempt Again;
   Again.set_upstream("s");
   Again.set_key("key");
   Again.set_key_issued_ms(unixMillis(at(0).Wall));
   Again.set_received_ms(unixMillis(at(5).Wall));
-  B.attempt(5, "2", Again);
-  CHECK(B.count<StartRun>() == 1);
-  B.Machine.onRunHead(at(50), "1", 201, "text/plain", B.Out);
-  B.Machine.onRunData(at(50), "1", "made", B.Out);
-  B.Machine.onRunDone(at(50), "1", B.Out);
+  Side.sendAttempt(5, "2", Again);
+  CHECK(Side.count<StartRun>() == 1);
+  Side.Machine.onRunHead(at(50), "1", 201, "text/plain", Side.Out);
+  Side.Machine.onRunData(at(50), "1", "made", Side.Out);
+  Side.Machine.onRunDone(at(50), "1", Side.Out);
   for (const char *Id : {"1", "2"}) {
-    CHECK(B.last(Id).kind() == wire::AttemptEvent::DONE);
-    CHECK(B.last(Id).status() == 201);
-    CHECK(B.last(Id).data() == "made");
+    CHECK(Side.lastEvent(Id).kind() == wire::AttemptEvent::DONE);
+    CHECK(Side.lastEvent(Id).status() == 201);
+    CHECK(Side.lastEvent(Id).data() == "made");
   }
 }
 
@@ -169,25 +175,26 @@
 
 struct RefusalRow {
   const char *Name;
-  void (*Prepare)(Bench &);
+  void (*Prepare)(SideFixture &);
   const char *Code;
 };
 
 const RefusalRow RefusalRows[] = {
-    {"leaving", [](Bench &B) { B.Machine.setDraining(true); }, "leaving"},
+    {"draining", [](SideFixture &Side) { Side.Machine.setDraining(true); },
+     "leaving"},
     {"upstream down",
-     [](Bench &B) {
-       B.Machine.onUpstreamCheck(at(0), {UpstreamStatus::Kind::Refused, {}},
-                                 B.Out);
+     [](SideFixture &Side) {
+       Side.Machine.onUpstreamCheck(at(0), {UpstreamStatus::Kind::Refused, {}},
+                                    Side.Out);
      },
      "upstream_down"},
     {"quarantined",
-     [](Bench &B) {
+     [](SideFixture &Side) {
        for (const char *Crash : {"c1", "c2"}) {
          wire::Envelope E;
          E.mutable_suspect_notice()->add_fingerprints(1);
          E.mutable_suspect_notice()->set_crash_id(Crash);
-         B.envelope(0, E);
+         Side.receive(0, E);
        }
      },
      "quarantined"},
@@ -195,112 +202,114 @@
 
 } // namespace
 
-TEST_CASE("a refusal says so at once, and that nothing ran") {
+TEST_CASE("a refused attempt is answered at once with outcome not_run") {
   for (const RefusalRow &Row : RefusalRows) {
-    Bench B("e");
-    Row.Prepare(B);
-    B.completion(10, "1");
-    CHECK_MESSAGE(B.last("1").code() == Row.Code, std::string(Row.Name));
-    CHECK(B.last("1").outcome() == wire::OUTCOME_NOT_RUN);
-    CHECK(B.count<StartRun>() == 0);
+    SideFixture Side("e");
+    Row.Prepare(Side);
+    Side.sendCompletion(10, "1");
+    CHECK_MESSAGE(Side.lastEvent("1").code() == Row.Code,
+                  std::string(Row.Name));
+    CHECK(Side.lastEvent("1").outcome() == wire::OUTCOME_NOT_RUN);
+    CHECK(Side.count<StartRun>() == 0);
   }
 }
 
-TEST_CASE("an adapter is loaded once for all that wait for it") {
-  Bench B("e");
-  B.completion(0, "1");
-  B.completion(1, "2");
-  B.load(20);
-  CHECK(B.count<LoadAdapter>() == 1);
-  CHECK(B.count<StartRun>() == 2);
+TEST_CASE("an adapter is loaded once for all attempts that wait for it") {
+  SideFixture Side("e");
+  Side.sendCompletion(0, "1");
+  Side.sendCompletion(1, "2");
+  Side.completeLoads(20);
+  CHECK(Side.count<LoadAdapter>() == 1);
+  CHECK(Side.count<StartRun>() == 2);
 }
 
-TEST_CASE("an engine that restarted without telling loses its slots") {
-  Bench B("e");
-  B.completion(0, "1");
-  B.load(20);
-  REQUIRE(B.count<StartRun>() == 1);
-  // The engine answers that it does not know the adapter.
-  B.Machine.onRunHead(at(30), "1", 404, "", B.Out);
-  B.Machine.onRunDone(at(30), "1", B.Out);
-  CHECK(B.last("1").outcome() == wire::OUTCOME_NOT_RUN);
-  CHECK(B.count<CheckUpstream>() >= 1);
-  B.Machine.onUpstreamCheck(at(40), {UpstreamStatus::Kind::Healthy, {"", ""}},
-                            B.Out);
-  CHECK_FALSE(B.Machine.slots().ready(hash64("a@1")));
+TEST_CASE("an unnoticed engine restart empties the slots") {
+  SideFixture Side("e");
+  Side.sendCompletion(0, "1");
+  Side.completeLoads(20);
+  REQUIRE(Side.count<StartRun>() == 1);
+  // The engine reports that it does not have the adapter.
+  Side.Machine.onRunHead(at(30), "1", 404, "", Side.Out);
+  Side.Machine.onRunDone(at(30), "1", Side.Out);
+  CHECK(Side.lastEvent("1").outcome() == wire::OUTCOME_NOT_RUN);
+  CHECK(Side.count<CheckUpstream>() >= 1);
+  Side.Machine.onUpstreamCheck(
+      at(40), {UpstreamStatus::Kind::Healthy, {"", ""}}, Side.Out);
+  CHECK_FALSE(Side.Machine.slots().ready(hash64("a@1")));
 }
 
-TEST_CASE("only an attempt's own connection failed if the engine is well") {
-  Bench B("e");
-  B.completion(0, "1");
-  B.load(20);
-  B.Machine.onRunError(at(30), "1", RunError::Broken, B.Out);
-  CHECK(B.last("1").kind() != wire::AttemptEvent::FAILED);
-  UpstreamStatus Well;
-  for (const Slot &S : B.Machine.slots().slots())
-    Well.SlotKeys.push_back(S.Key);
-  B.Machine.onUpstreamCheck(at(40), Well, B.Out);
-  CHECK(B.last("1").code() == "interrupted");
-  CHECK_FALSE(B.last("1").suspect());
+TEST_CASE("a broken connection to a healthy engine fails only its attempt") {
+  SideFixture Side("e");
+  Side.sendCompletion(0, "1");
+  Side.completeLoads(20);
+  Side.Machine.onRunError(at(30), "1", RunError::Broken, Side.Out);
+  CHECK(Side.lastEvent("1").kind() != wire::AttemptEvent::FAILED);
+  UpstreamStatus Healthy;
+  for (const Slot &S : Side.Machine.slots().slots())
+    Healthy.SlotKeys.push_back(S.Key);
+  Side.Machine.onUpstreamCheck(at(40), Healthy, Side.Out);
+  CHECK(Side.lastEvent("1").code() == "interrupted");
+  CHECK_FALSE(Side.lastEvent("1").suspect());
 }
 
-TEST_CASE("all that ran when the engine crashed is suspect") {
-  Bench B("e");
-  B.completion(0, "1", "1", 11);
-  B.completion(0, "2", "1", 12);
-  B.load(20);
-  B.Machine.onRunError(at(30), "1", RunError::Broken, B.Out);
-  B.Machine.onUpstreamCheck(at(40), {UpstreamStatus::Kind::Refused, {}}, B.Out);
-  CHECK(B.last("1").suspect());
-  CHECK(B.last("2").suspect());
-  CHECK(B.Machine.upstreamDown());
+TEST_CASE("all attempts that ran when the engine crashed are suspect") {
+  SideFixture Side("e");
+  Side.sendCompletion(0, "1", "1", 11);
+  Side.sendCompletion(0, "2", "1", 12);
+  Side.completeLoads(20);
+  Side.Machine.onRunError(at(30), "1", RunError::Broken, Side.Out);
+  Side.Machine.onUpstreamCheck(at(40), {UpstreamStatus::Kind::Refused, {}},
+                               Side.Out);
+  CHECK(Side.lastEvent("1").suspect());
+  CHECK(Side.lastEvent("2").suspect());
+  CHECK(Side.Machine.upstreamDown());
 }
 
-TEST_CASE("an attempt that never arrived is denied for good") {
-  Bench B("e");
+TEST_CASE("an attempt denied before it arrived never runs") {
+  SideFixture Side("e");
   wire::Envelope E;
   E.mutable_resume()->set_attempt_id("1");
-  B.envelope(0, E);
-  CHECK(B.last("1").code() == "never_arrived");
-  B.Out.clear();
-  B.completion(10, "1"); // The late original.
-  CHECK(B.count<StartRun>() == 0);
-  CHECK(B.Machine.waiting() == 0);
+  Side.receive(0, E);
+  CHECK(Side.lastEvent("1").code() == "never_arrived");
+  Side.Out.clear();
+  Side.sendCompletion(10, "1"); // The delayed attempt arrives.
+  CHECK(Side.count<StartRun>() == 0);
+  CHECK(Side.Machine.waiting() == 0);
 }
 
-TEST_CASE("a resumed attempt gets the events that it missed") {
-  Bench B("e");
-  B.completion(0, "1");
-  B.load(20);
-  B.Machine.onRunHead(at(30), "1", 200, "text/event-stream", B.Out);
-  B.Machine.onRunData(at(31), "1",
-                      "data: {\"id\":\"cmpl-1\",\"model\":\"a@1\"}\n\n", B.Out);
-  B.Out.clear();
+TEST_CASE("a resume sends the events from the requested sequence number on") {
+  SideFixture Side("e");
+  Side.sendCompletion(0, "1");
+  Side.completeLoads(20);
+  Side.Machine.onRunHead(at(30), "1", 200, "text/event-stream", Side.Out);
+  Side.Machine.onRunData(
+      at(31), "1", "data: {\"id\":\"cmpl-1\",\"model\":\"a@1\"}\n\n", Side.Out);
+  Side.Out.clear();
   wire::Envelope E;
   E.mutable_resume()->set_attempt_id("1");
   E.mutable_resume()->set_next_sequence(1);
-  B.envelope(40, E, "new-connection");
-  REQUIRE(B.Out.size() == 2);
-  const auto &First = std::get<Reply>(B.Out[0]);
+  Side.receive(40, E, "new-connection");
+  REQUIRE(Side.Out.size() == 2);
+  const auto &First = std::get<Reply>(Side.Out[0]);
   CHECK(First.Peer == "new-connection");
   CHECK(First.Message.event().sequence() == 1);
 }
 
-TEST_CASE("a new generation keeps what waits and runs") {
-  Bench B("e");
-  B.completion(0, "1");
-  B.Machine.onConfig(at(10), config(2), B.Out);
-  CHECK(B.Machine.waiting() == 1);
-  CHECK(B.Machine.generation() == 2);
-  B.load(30);
-  CHECK(B.count<StartRun>() == 1);
+TEST_CASE("a new configuration keeps the waiting attempts") {
+  SideFixture Side("e");
+  Side.sendCompletion(0, "1");
+  Side.Machine.onConfig(at(10), config(2), Side.Out);
+  CHECK(Side.Machine.waiting() == 1);
+  CHECK(Side.Machine.generation() == 2);
+  Side.completeLoads(30);
+  CHECK(Side.count<StartRun>() == 1);
 }
 
-TEST_CASE("two versions of an adapter hold two slots") {
-  Bench B("e");
-  B.completion(0, "1", "1");
-  B.completion(0, "2", "2");
-  B.load(20);
-  CHECK(B.Machine.slots().ready(hash64("a@1")));
-  CHECK(B.Machine.slots().ready(hash64("a@2")));
+TEST_CASE("two versions of an adapter occupy two slots") {
+  SideFixture Side("e");
+  Side.sendCompletion(0, "1", "1");
+  Side.sendCompletion(0, "2", "2");
+  Side.completeLoads(20);
+  CHECK(Side.Machine.slots().ready(hash64("a@1")));
+  CHECK(Side.Machine.slots().ready(hash64("a@2")));
 }
--- a/side/upstream_client.cc
+++ b/side/upstream_client.cc
@@ -1,5 +1,5 @@
-// One HTTP call per run. The number of calls is bounded by the machine, which
-// runs no more than the upstream's declared concurrency.
+// Each run is one HTTP call. The state machine bounds the number of calls by
+// the declared concurrency of the upstream.
 #include "side/upstream_client.h"
 
 #include <nlohmann/json.hpp>
@@ -8,18 +8,20 @@
 
 namespace {
 
+// Also the time-out for connecting.
 constexpr Duration CheckTimeout = std::chrono::seconds(1);
 constexpr Duration LoadTimeout = std::chrono::seconds(30);
-constexpr Duration RunSilence = std::chrono::seconds(30);
+constexpr Duration CallSilenceTimeout = std::chrono::seconds(30);
 
-http::CallOptions timed(Duration Silence, bool Fresh) {
+http::CallOptions callOptions(Duration Silence, bool Fresh) {
   return http::CallOptions()
       .setConnectTimeout(CheckTimeout)
       .setSilenceTimeout(Silence)
       .setFreshConnection(Fresh);
 }
 
-UpstreamStatus statusFrom(const http::Response *Answer, http::CallError Error) {
+UpstreamStatus statusFromAnswer(const http::Response *Answer,
+                                http::CallError Error) {
   UpstreamStatus Out;
   if (!Answer) {
     Out.Is = Error == http::CallError::Silent ? UpstreamStatus::Kind::Silent
@@ -41,8 +43,8 @@
 } // namespace
 
 UpstreamClient::UpstreamClient(boost::asio::io_context &Io,
-                               UpstreamEvents Events)
-    : Http(Io), On(std::move(Events)) {}
+                               UpstreamEvents Callbacks)
+    : Http(Io), Events(std::move(Callbacks)) {}
 
 void UpstreamClient::setUpstream(const UpstreamDecl &Decl) { Upstream = Decl; }
 
@@ -63,22 +65,22 @@
   const std::string Id = Run.AttemptId;
   http::CallHandlers Handlers;
   Handlers.OnHead = [this, Id](const http::ResponseHead &Head) {
-    On.Head(Id, Head.Status, Head.header("Content-Type"));
+    Events.Head(Id, Head.Status, Head.header("Content-Type"));
   };
-  Handlers.OnData = [this, Id](std::string Part) { On.Data(Id, Part); };
+  Handlers.OnData = [this, Id](std::string Part) { Events.Data(Id, Part); };
   Handlers.OnDone = [this, Id] {
     Calls.erase(Id);
-    On.Done(Id);
+    Events.Done(Id);
   };
   Handlers.OnError = [this, Id](http::CallError Error, const std::string &) {
     Calls.erase(Id);
-    On.Error(Id, Error == http::CallError::NotSent  ? RunError::NotSent
-                 : Error == http::CallError::Silent ? RunError::Silent
-                                                    : RunError::Broken);
+    Events.Error(Id, Error == http::CallError::NotSent  ? RunError::NotSent
+                     : Error == http::CallError::Silent ? RunError::Silent
+                                                        : RunError::Broken);
   };
-  Calls[Id] =
-      Http.start(Upstream.Address, std::move(R),
-                 timed(RunSilence, Run.OwnConnection), std::move(Handlers));
+  Calls[Id] = Http.start(Upstream.Address, std::move(R),
+                         callOptions(CallSilenceTimeout, Run.OwnConnection),
+                         std::move(Handlers));
 }
 
 void UpstreamClient::cancel(const std::string &AttemptId) {
@@ -89,26 +91,26 @@
   Calls.erase(It);
 }
 
-void UpstreamClient::load(const LoadAdapter &Order) {
+void UpstreamClient::load(const LoadAdapter &Request) {
   http::Request R;
   R.Method = "POST";
   R.Target = "/v1/load_lora_adapter";
   R.Fields.push_back({"Content-Type", "application/json"});
   R.Body =
-      nlohmann::json{{"lora_name", Order.Key}, {"slot", Order.Slot}}.dump();
-  Http.fetch(Upstream.Address, std::move(R), timed(LoadTimeout, true),
-             [this, Order](const http::Response *Answer, http::CallError) {
-               On.Loaded(Order.Slot, Order.Key,
-                         Answer && Answer->Head.Status == 200);
+      nlohmann::json{{"lora_name", Request.Key}, {"slot", Request.Slot}}.dump();
+  Http.fetch(Upstream.Address, std::move(R), callOptions(LoadTimeout, true),
+             [this, Request](const http::Response *Answer, http::CallError) {
+               Events.Loaded(Request.Slot, Request.Key,
+                             Answer && Answer->Head.Status == 200);
              });
 }
 
 void UpstreamClient::check() {
   http::Request R;
   R.Target = Upstream.Kind == UpstreamKind::Engine ? "/v1/slots" : "/healthz";
-  Http.fetch(Upstream.Address, std::move(R), timed(CheckTimeout, true),
+  Http.fetch(Upstream.Address, std::move(R), callOptions(CheckTimeout, true),
              [this](const http::Response *Answer, http::CallError Error) {
-               On.Checked(statusFrom(Answer, Error));
+               Events.Checked(statusFromAnswer(Answer, Error));
              });
 }
 
--- a/side/upstream_client.h
+++ b/side/upstream_client.h
@@ -1,11 +1,16 @@
-// Talks HTTP to the upstream that a side stands beside: calls, load orders and
-// health checks. Engines are driven by
+// HTTP client for the upstream that a side controls: calls, loads of adapters
+// and health checks. An engine has to offer
 //
-//   POST /v1/completions, /v1/chat/completions   whole or streamed answers
+//   POST /v1/completions, /v1/chat/completions   complete or streamed answers
 //   POST /v1/load_lora_adapter                   {"lora_name", "slot"}
 //   GET  /v1/slots                               {"slots": ["a@1", "", ...]}
 //
-// and plain services by whatever their callers ask, and GET /healthz.
+// A plain service has to offer GET /healthz; its calls are forwarded with the
+// method and path that the caller used.
+//
+//   UpstreamClient Client(Io, Events);
+//   Client.setUpstream(Decl);
+//   Client.start(Run);   // reported by Events.Head, Data, Done and Error
 #ifndef GOLDCRESTLINK_SIDE_UPSTREAM_CLIENT_H
 #define GOLDCRESTLINK_SIDE_UPSTREAM_CLIENT_H
 
@@ -20,7 +25,8 @@
 
 namespace goldcrestlink::side {
 
-/// What the upstream's answers are reported to.
+/// Callbacks that report the results of calls, loads and checks. All must be
+/// set.
 struct UpstreamEvents {
   std::function<void(const std::string &Id, unsigned Status,
                      std::string_view ContentType)>
@@ -32,20 +38,22 @@
   std::function<void(const UpstreamStatus &Status)> Checked;
 };
 
-/// Not thread-safe. Events come on Io's thread, never from within a call.
+/// Not thread-safe. The callbacks run on the thread of \p Io, never within a
+/// call of a member function.
 class UpstreamClient {
 public:
-  UpstreamClient(boost::asio::io_context &Io, UpstreamEvents On);
-  /// Where the upstream is and of which kind.
+  UpstreamClient(boost::asio::io_context &Io, UpstreamEvents Callbacks);
+  /// Sets the address and kind of the upstream for later calls.
   void setUpstream(const UpstreamDecl &Decl);
   void start(const StartRun &Run);
+  /// Closes the connection of the call. Nothing more is reported about it.
   void cancel(const std::string &AttemptId);
-  void load(const LoadAdapter &Order);
+  void load(const LoadAdapter &Request);
   void check();
 
 private:
   http::Client Http;
-  UpstreamEvents On;
+  UpstreamEvents Events;
   UpstreamDecl Upstream;
   std::unordered_map<std::string, std::shared_ptr<http::Call>> Calls;
 };
