--- a/config/bundle.cc
+++ b/config/bundle.cc
@@ -1,8 +1,9 @@
-// A chunk starts with a line "file NAME" and holds a run of that file's text.
-// A new chunk begins at a section header whose hash falls on 1 of
-// BoundaryOneIn, or at the next header once MaxChunkBytes are reached. So an
-// inserted or changed section moves one chunk, not all that follow, and each
-// chunk can be read on its own. Linear in the text.
+// A chunk starts with a line "file NAME", followed by a contiguous part of the
+// text of that file. A new chunk begins at a section header whose hash is a
+// multiple of BoundaryModulus if the current chunk has at least MinChunkBytes,
+// or at any header once it has MaxChunkBytes. Therefore an inserted or changed
+// section affects the chunk that it is in and not all that follow, and each
+// chunk can be parsed on its own. Linear in the text.
 #include "config/bundle.h"
 
 #include <charconv>
@@ -14,7 +15,7 @@
 
 namespace {
 
-constexpr uint64_t BoundaryOneIn = 96;
+constexpr uint64_t BoundaryModulus = 96;
 constexpr size_t MinChunkBytes = 2 * 1024;
 constexpr size_t MaxChunkBytes = 256 * 1024;
 constexpr std::string_view HeadPrefix = "generation ";
@@ -24,25 +25,25 @@
 public:
   explicit ChunkWriter(Bundle &Out) : Out(Out) {}
 
-  void file(const DeclarationFile &File) {
+  void addFile(const DeclarationFile &File) {
     Name = File.Name;
     std::string_view Rest = File.Text;
     while (!Rest.empty()) {
       const size_t End = Rest.find('\n');
       const size_t Length =
           End == std::string_view::npos ? Rest.size() : End + 1;
-      line(Rest.substr(0, Length));
+      addLine(Rest.substr(0, Length));
       Rest.remove_prefix(Length);
     }
     flush();
   }
 
 private:
-  void line(std::string_view Line) {
-    const bool Header = Line.front() == '[';
-    const bool Chosen = hash64(Line) % BoundaryOneIn == 0;
-    const bool Full = Text.size() >= MaxChunkBytes;
-    if (Header && (Full || (Chosen && Text.size() >= MinChunkBytes)))
+  void addLine(std::string_view Line) {
+    const bool IsHeader = Line.front() == '[';
+    const bool IsBoundary = hash64(Line) % BoundaryModulus == 0;
+    const bool IsFull = Text.size() >= MaxChunkBytes;
+    if (IsHeader && (IsFull || (IsBoundary && Text.size() >= MinChunkBytes)))
       flush();
     Text.append(Line);
   }
@@ -76,18 +77,18 @@
   const size_t End = Text.find('\n');
   if (Text.substr(0, HeadPrefix.size()) != HeadPrefix ||
       End == std::string_view::npos)
-    throw std::invalid_argument("configuration head without a generation");
+    throw std::invalid_argument("configuration head has no generation");
   const std::string_view Number =
       Text.substr(HeadPrefix.size(), End - HeadPrefix.size());
   const auto [Stop, Error] = std::from_chars(
       Number.data(), Number.data() + Number.size(), Out.Generation);
   if (Error != std::errc() || Stop != Number.data() + Number.size())
-    throw std::invalid_argument("configuration head with a bad generation");
+    throw std::invalid_argument("configuration head has an invalid generation");
   Text.remove_prefix(End + 1);
   while (!Text.empty()) {
     const size_t Line = Text.find('\n');
     if (Line == std::string_view::npos)
-      throw std::invalid_argument("configuration head is cut short");
+      throw std::invalid_argument("configuration head is truncated");
     Out.ChunkHashes.emplace_back(Text.substr(0, Line));
     Text.remove_prefix(Line + 1);
   }
@@ -100,15 +101,15 @@
   Out.Head.Generation = Generation;
   ChunkWriter Writer(Out);
   for (const DeclarationFile &File : Files)
-    Writer.file(File);
+    Writer.addFile(File);
   return Out;
 }
 
-DeclarationFile openChunk(const std::string &Hash, std::string_view Chunk) {
+DeclarationFile decodeChunk(const std::string &Hash, std::string_view Chunk) {
   const size_t End = Chunk.find('\n');
   if (contentHash(Chunk) != Hash || End == std::string_view::npos ||
       Chunk.substr(0, FilePrefix.size()) != FilePrefix)
-    throw std::invalid_argument("chunk " + Hash + " is damaged");
+    throw std::invalid_argument("chunk " + Hash + " is corrupt");
   return {std::string(Chunk.substr(FilePrefix.size(), End - FilePrefix.size())),
           std::string(Chunk.substr(End + 1))};
 }
@@ -120,7 +121,7 @@
     const auto It = Chunks.find(Hash);
     if (It == Chunks.end())
       throw std::invalid_argument("chunk " + Hash + " is missing");
-    DeclarationFile Part = openChunk(Hash, It->second);
+    DeclarationFile Part = decodeChunk(Hash, It->second);
     if (Files.empty() || Files.back().Name != Part.Name)
       Files.push_back(std::move(Part));
     else
--- a/config/bundle.h
+++ b/config/bundle.h
@@ -1,10 +1,11 @@
-// A set of declaration files as content-addressed chunks and a small head, so
-// that a change moves only the chunks that it touches and every value stays
-// far below the platform's limit of 1 MB.
+// A set of declaration files as content-addressed chunks and a small head that
+// lists them. A change transfers only the chunks that differ, and every value
+// stays far below the platform's limit of 1 MB.
 //
-//   Bundle B = packBundle(Files);
-//   put each B.Chunks[i] under its hash, then put B.headText(Generation).
-//   BundleHead H = parseHead(Text);  Files = unpackBundle(H, FetchChunk);
+//   Bundle B = packBundle(Files, Generation);
+//   // Store each chunk in B.Chunks under its hash, then store B.Head.text().
+//   BundleHead Head = BundleHead::parse(Text);
+//   Files = unpackBundle(Head, Chunks);
 #ifndef GOLDCRESTLINK_CONFIG_BUNDLE_H
 #define GOLDCRESTLINK_CONFIG_BUNDLE_H
 
@@ -27,7 +28,7 @@
   static BundleHead parse(std::string_view Text);
 };
 
-/// Chunks by hash. std::map keeps apply order stable.
+/// Chunks by hash, sorted so that they are always stored in the same order.
 using ChunkMap = std::map<std::string, std::string>;
 
 struct Bundle {
@@ -35,16 +36,17 @@
   ChunkMap Chunks;
 };
 
-/// Splits files into chunks at section borders chosen by content. Thread-safe.
+/// Splits files into chunks at section headers, which are selected by their
+/// hash. Thread-safe.
 Bundle packBundle(const std::vector<DeclarationFile> &Files,
                   uint64_t Generation);
 
-/// The part of a file that a chunk holds. Throws std::invalid_argument if the
-/// chunk does not match its hash.
-DeclarationFile openChunk(const std::string &Hash, std::string_view Chunk);
+/// Returns the part of a file that \p Chunk contains. Throws
+/// std::invalid_argument if the chunk does not match \p Hash. Thread-safe.
+DeclarationFile decodeChunk(const std::string &Hash, std::string_view Chunk);
 
-/// Joins the chunks named by \p Head back into files. Throws
-/// std::invalid_argument if a chunk is missing or does not match its hash.
+/// Joins the chunks listed in \p Head into files. Throws std::invalid_argument
+/// if a chunk is missing or does not match its hash. Thread-safe.
 std::vector<DeclarationFile> unpackBundle(const BundleHead &Head,
                                           const ChunkMap &Chunks);
 
--- a/config/config_replica.cc
+++ b/config/config_replica.cc
@@ -1,8 +1,8 @@
-// Generations only rise: a head that is not newer than both what is in force
-// and what is pending is ignored, whoever sent it. Chunks are shared between
-// generations by hash, so that a change fetches and reads only what it
-// touches. The places of findings count lines within a chunk; the tool that
-// applies a set reports them within its files.
+// Generations only increase: a head that is not newer than both the active and
+// the pending one is ignored, whatever its source. Generations share chunks by
+// hash, so that a change fetches and parses only the chunks that differ. The
+// line numbers of findings count from the start of a chunk; the command that
+// applies a set of files reports them with their lines in the files.
 #include "config/config_replica.h"
 
 #include <set>
@@ -48,14 +48,14 @@
 
 std::shared_ptr<const Declarations>
 ConfigReplica::buildPending(FindingList &Findings) {
-  std::vector<std::shared_ptr<const ReadFile>> Files;
+  std::vector<std::shared_ptr<const ParsedFile>> Files;
   Files.reserve(Pending->ChunkHashes.size());
   for (const std::string &Hash : Pending->ChunkHashes) {
-    auto &Slot = Read[Hash];
-    if (!Slot)
-      Slot = std::make_shared<ReadFile>(
-          Declarations::read(openChunk(Hash, Chunks.at(Hash))));
-    Files.push_back(Slot);
+    auto &Parsed = ParsedChunks[Hash];
+    if (!Parsed)
+      Parsed = std::make_shared<ParsedFile>(
+          Declarations::parseFile(decodeChunk(Hash, Chunks.at(Hash))));
+    Files.push_back(Parsed);
   }
   return Declarations::build(Files, Pending->Generation, Findings);
 }
@@ -75,12 +75,12 @@
     Pending.reset();
     return nullptr;
   }
-  InForce = Parsed;
-  HeadInForce = Pending->text();
-  Current = std::move(*Pending);
+  ActiveDeclarations = Parsed;
+  ActiveHeadText = Pending->text();
+  ActiveHead = std::move(*Pending);
   Pending.reset();
   dropUnused();
-  return InForce;
+  return ActiveDeclarations;
 }
 
 const std::string *ConfigReplica::chunk(const std::string &Hash) const {
@@ -89,10 +89,11 @@
 }
 
 void ConfigReplica::dropUnused() {
-  const std::set<std::string> Used(Current.ChunkHashes.begin(),
-                                   Current.ChunkHashes.end());
+  const std::set<std::string> Used(ActiveHead.ChunkHashes.begin(),
+                                   ActiveHead.ChunkHashes.end());
   std::erase_if(Chunks, [&](const auto &C) { return !Used.count(C.first); });
-  std::erase_if(Read, [&](const auto &R) { return !Used.count(R.first); });
+  std::erase_if(ParsedChunks,
+                [&](const auto &R) { return !Used.count(R.first); });
 }
 
 } // namespace goldcrestlink
--- a/config/config_replica.h
+++ b/config/config_replica.h
@@ -1,11 +1,11 @@
-// One process's copy of the configuration: takes heads and chunks from any
-// source, the platform or another process, and accepts only what is whole,
-// valid and newer than what is in force.
+// One process's copy of the configuration. It accepts heads and chunks from any
+// source, the platform or another process, and activates only a configuration
+// that is complete, valid and newer than the active one.
 //
-//   ConfigReplica R;
-//   std::vector<std::string> Missing = R.offerHead(HeadText);
-//   for (...) R.addChunk(Hash, Data);
-//   if (auto D = R.takeReady(Findings)) publish(D);
+//   ConfigReplica Replica;
+//   std::vector<std::string> Missing = Replica.offerHead(HeadText);
+//   for (...) Replica.addChunk(Hash, Data);
+//   if (auto Set = Replica.takeReady(Findings)) publish(Set);
 #ifndef GOLDCRESTLINK_CONFIG_CONFIG_REPLICA_H
 #define GOLDCRESTLINK_CONFIG_CONFIG_REPLICA_H
 
@@ -22,37 +22,46 @@
 /// Not thread-safe. Holds the chunks of at most two generations.
 class ConfigReplica {
 public:
-  /// Considers a head. Returns the hashes of the chunks still needed for it;
-  /// none if the head is not newer than what is in force or pending.
+  /// Makes the head pending if it is newer than the active and the pending one
+  /// and its generation was not the last one refused. Returns missing(), or
+  /// nothing if \p HeadText is malformed.
   std::vector<std::string> offerHead(std::string_view HeadText);
-  /// Adds a chunk if it is needed and matches its hash.
+  /// Adds a chunk if the pending generation needs it and it matches its hash.
   void addChunk(const std::string &Hash, std::string Data);
   /// Chunks still needed for the pending generation.
   std::vector<std::string> missing() const;
-  /// If the pending generation is complete, parses it and puts it in force.
-  /// Null if it is not complete, or if it has findings; then it is refused.
+  /// Parses the pending generation and makes it active. Returns null if there
+  /// is none or chunks are missing. A generation with findings is refused: it
+  /// is dropped, and the result is null.
   std::shared_ptr<const Declarations> takeReady(FindingList &Findings);
 
-  /// What is in force; null before the first.
-  const std::shared_ptr<const Declarations> &current() const { return InForce; }
-  uint64_t generation() const { return InForce ? InForce->generation() : 0; }
-  /// The head of what is in force, for other processes; empty before.
-  const std::string &headText() const { return HeadInForce; }
-  /// A chunk that this process holds, or null.
+  /// The active declarations; null before the first activation.
+  const std::shared_ptr<const Declarations> &current() const {
+    return ActiveDeclarations;
+  }
+  /// The active generation; 0 before the first activation.
+  uint64_t generation() const {
+    return ActiveDeclarations ? ActiveDeclarations->generation() : 0;
+  }
+  /// The active head, to be sent to other processes; empty before the first
+  /// activation.
+  const std::string &headText() const { return ActiveHeadText; }
+  /// A chunk that this process has, or null.
   const std::string *chunk(const std::string &Hash) const;
 
 private:
   std::shared_ptr<const Declarations> buildPending(FindingList &Findings);
   void dropUnused();
 
-  std::shared_ptr<const Declarations> InForce;
-  std::string HeadInForce;
-  BundleHead Current;
+  std::shared_ptr<const Declarations> ActiveDeclarations;
+  std::string ActiveHeadText;
+  BundleHead ActiveHead;
   std::optional<BundleHead> Pending;
   uint64_t RefusedGeneration = 0;
   ChunkMap Chunks;
-  /// Chunks as read, so that a change reads only what it touches.
-  std::map<std::string, std::shared_ptr<const ReadFile>> Read;
+  /// Parsed chunks by hash, so that a change parses only the chunks that
+  /// differ.
+  std::map<std::string, std::shared_ptr<const ParsedFile>> ParsedChunks;
 };
 
 } // namespace goldcrestlink
--- a/config/declarations.cc
+++ b/config/declarations.cc
@@ -1,7 +1,8 @@
-// Files are read in parallel by oneTBB, since 45,000 adapters make a few
-// megabytes; sections are then taken in order, so that findings and results do
-// not depend on scheduling. A table maps each section kind to the member that
-// reads it. Cross references are checked last. Linear in the text.
+// oneTBB parses the files in parallel, since 45,000 adapters make a few
+// megabytes. The sections are then processed in order, so that findings and
+// results do not depend on scheduling. A table maps each section kind to the
+// member function that reads it. References between sections are checked last.
+// Linear in the text.
 #include "config/declarations.h"
 
 #include <algorithm>
@@ -19,7 +20,7 @@
 
 constexpr size_t MaxNameBytes = 100;
 constexpr size_t MaxRanks = 8;
-constexpr int64_t DayMillis = 24LL * 3600 * 1000;
+constexpr int64_t MillisPerDay = 24LL * 3600 * 1000;
 
 std::string groupKey(UpstreamKind Kind, std::string_view Group,
                      std::string_view Cell) {
@@ -29,12 +30,12 @@
 
 } // namespace
 
-bool isPlainName(std::string_view Name) {
-  const auto Plain = [](unsigned char C) {
+bool isValidName(std::string_view Name) {
+  const auto IsAllowed = [](unsigned char C) {
     return std::isalnum(C) || C == '.' || C == '_' || C == '-';
   };
   return !Name.empty() && Name.size() <= MaxNameBytes &&
-         std::all_of(Name.begin(), Name.end(), Plain);
+         std::all_of(Name.begin(), Name.end(), IsAllowed);
 }
 
 std::string slotKey(std::string_view Adapter, std::string_view Version) {
@@ -53,14 +54,14 @@
 
 private:
   using Reader = void (DeclarationParser::*)(FieldReader &, const IniSection &);
-  struct Row {
+  struct SectionRow {
     const char *Kind;
     bool Named;
     Reader Read;
   };
-  static const Row Rows[];
+  static const SectionRow SectionRows[];
 
-  // A cross reference to check when all files are read.
+  // A reference to another section, checked after all files are processed.
   struct Reference {
     Place Where;
     enum class Kind { Rank, Service } What;
@@ -78,7 +79,7 @@
   void upstream(FieldReader &F, const IniSection &S, UpstreamKind Kind);
   bool isDuplicate(const IniSection &S);
   void checkReferences();
-  void checkShares();
+  void checkRanks();
   void buildIndexes();
 
   Declarations &Out;
@@ -86,11 +87,11 @@
   std::string File;
   std::unordered_set<std::string> SectionNames;
   std::vector<Reference> References;
-  // Where each model is first named by an adapter.
+  // The first adapter section that names each model.
   std::unordered_map<std::string, Place> AdapterModels;
 };
 
-const DeclarationParser::Row DeclarationParser::Rows[] = {
+const DeclarationParser::SectionRow DeclarationParser::SectionRows[] = {
     {"rank", true, &DeclarationParser::rank},
     {"application", true, &DeclarationParser::application},
     {"adapter", true, &DeclarationParser::adapter},
@@ -106,13 +107,13 @@
   if (File != InFile)
     File = InFile;
   const auto *Found =
-      std::find_if(std::begin(Rows), std::end(Rows),
-                   [&](const Row &R) { return S.Kind == R.Kind; });
-  if (Found == std::end(Rows))
+      std::find_if(std::begin(SectionRows), std::end(SectionRows),
+                   [&](const SectionRow &R) { return S.Kind == R.Kind; });
+  if (Found == std::end(SectionRows))
     return Findings.add({File, S.Line},
                         "unknown section kind '" + S.Kind + "'");
   const bool IsPath = S.Kind == "route";
-  if (Found->Named && !IsPath && !isPlainName(S.Name))
+  if (Found->Named && !IsPath && !isValidName(S.Name))
     return Findings.add({File, S.Line},
                         "'" + S.Name + "' is not a usable name");
   if (!Found->Named && !S.Name.empty())
@@ -124,24 +125,27 @@
   F.finish();
 }
 
-// Adapters are by far the most numerous and have their own index already.
+// Adapters are looked up in their own index instead of SectionNames, since they
+// are by far the most numerous sections.
 bool DeclarationParser::isDuplicate(const IniSection &S) {
   const bool IsUpstream = S.Kind == "engine" || S.Kind == "service";
-  const std::string Unique = (IsUpstream ? "upstream" : S.Kind) + " " + S.Name;
-  const bool New = S.Kind == "adapter" ? !Out.Adapters.count(S.Name)
-                                       : SectionNames.insert(Unique).second;
-  if (!New)
-    Findings.add({File, S.Line}, "'" + Unique + "' is declared twice");
-  return !New;
+  const std::string UniqueName =
+      (IsUpstream ? "upstream" : S.Kind) + " " + S.Name;
+  const bool IsNew = S.Kind == "adapter"
+                         ? !Out.Adapters.count(S.Name)
+                         : SectionNames.insert(UniqueName).second;
+  if (!IsNew)
+    Findings.add({File, S.Line}, "'" + UniqueName + "' is declared twice");
+  return !IsNew;
 }
 
 void DeclarationParser::rank(FieldReader &F, const IniSection &S) {
   RankDecl R;
   R.Name = S.Name;
   F.integer("priority", R.Priority, 0, 100, Need::Required);
-  F.millis("target_ms", R.Target, 1, DayMillis, Need::Required);
+  F.millis("target_ms", R.Target, 1, MillisPerDay, Need::Required);
   R.Deadline = 2 * R.Target;
-  F.millis("deadline_ms", R.Deadline, 1, DayMillis);
+  F.millis("deadline_ms", R.Deadline, 1, MillisPerDay);
   F.number("share", R.Share, 0, 1);
   F.number("worth", R.Worth, 0.001, 1000);
   if (R.Deadline < R.Target)
@@ -170,7 +174,7 @@
   F.text("model", A.Model, Need::Required);
   F.words("versions", A.Versions, Need::Required);
   for (const std::string &Version : A.Versions)
-    if (!isPlainName(Version))
+    if (!isValidName(Version))
       F.problem("'" + Version + "' is not a usable version", "versions");
   if (!AdapterModels.count(A.Model))
     AdapterModels.emplace(A.Model, Place{File, S.Line});
@@ -231,9 +235,9 @@
 void DeclarationParser::policy(FieldReader &F, const IniSection &) {
   PolicyDecl &P = Out.Policy;
   F.millis("clock_skew_ms", P.ClockSkew, 0, 10000);
-  F.millis("key_retention_ms", P.KeyRetention, 1000, DayMillis);
+  F.millis("key_retention_ms", P.KeyRetention, 1000, MillisPerDay);
   F.millis("lease_ms", P.Lease, 500, 600000);
-  F.millis("quarantine_ms", P.QuarantineFor, 1000, DayMillis);
+  F.millis("quarantine_ms", P.QuarantineFor, 1000, MillisPerDay);
   F.integer("shards_per_service", P.ShardsPerService, 1, 1024);
 }
 
@@ -254,7 +258,7 @@
       Findings.add(Where, "model '" + Model + "' has no engine");
 }
 
-void DeclarationParser::checkShares() {
+void DeclarationParser::checkRanks() {
   double Sum = 0;
   for (const RankDecl &R : Out.Ranks)
     Sum += R.Share;
@@ -284,13 +288,13 @@
             [](const RankDecl &A, const RankDecl &B) {
               return A.Priority < B.Priority;
             });
-  checkShares();
+  checkRanks();
   checkReferences();
   buildIndexes();
 }
 
-ReadFile Declarations::read(const DeclarationFile &File) {
-  ReadFile Out;
+ParsedFile Declarations::parseFile(const DeclarationFile &File) {
+  ParsedFile Out;
   Out.Name = File.Name;
   Out.Sections = readIni(File.Name, File.Text, Out.Findings);
   return Out;
@@ -299,15 +303,15 @@
 std::shared_ptr<const Declarations>
 Declarations::parse(const std::vector<DeclarationFile> &Files,
                     uint64_t Generation, FindingList &Findings) {
-  std::vector<std::shared_ptr<const ReadFile>> Reads(Files.size());
+  std::vector<std::shared_ptr<const ParsedFile>> Parsed(Files.size());
   tbb::parallel_for(size_t(0), Files.size(), [&](size_t I) {
-    Reads[I] = std::make_shared<ReadFile>(read(Files[I]));
+    Parsed[I] = std::make_shared<ParsedFile>(parseFile(Files[I]));
   });
-  return build(Reads, Generation, Findings);
+  return build(Parsed, Generation, Findings);
 }
 
 std::shared_ptr<const Declarations>
-Declarations::build(std::span<const std::shared_ptr<const ReadFile>> Files,
+Declarations::build(std::span<const std::shared_ptr<const ParsedFile>> Files,
                     uint64_t Generation, FindingList &Findings) {
   auto Out = std::make_shared<Declarations>();
   Out->Generation = Generation;
--- a/config/declarations.h
+++ b/config/declarations.h
@@ -1,10 +1,10 @@
-// What operators declare: adapters, versions, ranks, applications, upstreams,
-// routes and policy. Built once from a set of files, then immutable and shared
-// between threads.
+// The operators' declarations: adapters, versions, ranks, applications,
+// upstreams, routes and policy. A set is built once from files; then it is
+// immutable and shared between threads.
 //
 //   FindingList Findings;
-//   auto D = Declarations::parse(Files, /*Generation=*/7, Findings);
-//   const AdapterDecl *A = D->adapter("stave-0001");
+//   auto Set = Declarations::parse(Files, /*Generation=*/7, Findings);
+//   const AdapterDecl *Adapter = Set->adapter("stave-0001");
 #ifndef GOLDCRESTLINK_CONFIG_DECLARATIONS_H
 #define GOLDCRESTLINK_CONFIG_DECLARATIONS_H
 
@@ -23,31 +23,34 @@
 
 namespace goldcrestlink {
 
-/// One operator's file, or a part of one that begins at a section.
+/// A declaration file, or a part of one that begins at a section.
 struct DeclarationFile {
   std::string Name;
   std::string Text;
 };
 
-/// A file as sections. Reading costs more than building, so processes keep
-/// this for the parts that a change leaves alone.
-struct ReadFile {
+/// The sections of a file. Parsing a file costs more than building declarations
+/// from its sections, so processes keep the parsed form for the parts that do
+/// not change.
+struct ParsedFile {
   std::string Name;
   std::vector<IniSection> Sections;
   FindingList Findings;
 };
 
-/// A rank of work. Position in Declarations::ranks() is its urgency: 0 first.
+/// A rank of requests. Declarations::ranks() lists the most urgent rank first.
 struct RankDecl {
   std::string Name;
+  /// Sort key of the ranks; the lowest value is the most urgent.
   int64_t Priority = 0;
-  /// The whole answer should be there within this time.
+  /// The complete answer is due within this time.
   Duration Target = std::chrono::seconds(10);
   /// After this time the request ends with an error.
   Duration Deadline = std::chrono::seconds(20);
-  /// Part of an upstream's work that this rank keeps when others flood.
+  /// Fraction of an upstream's work that this rank is guaranteed while other
+  /// ranks send more than the upstream can serve.
   double Share = 0;
-  /// Weight of one request of this rank against one of another.
+  /// Weight of a request of this rank relative to requests of other ranks.
   double Worth = 1;
   bool operator==(const RankDecl &) const = default;
 };
@@ -55,9 +58,9 @@
 struct ApplicationDecl {
   std::string Name;
   std::vector<std::string> Ranks;
-  /// Rank of requests that name none; the first of Ranks unless given.
+  /// Rank of requests that name none. Defaults to the first of Ranks.
   std::string DefaultRank;
-  /// Weight among the applications of one rank.
+  /// Weight of the application among those that use the same rank.
   double Share = 1;
   bool operator==(const ApplicationDecl &) const = default;
 };
@@ -79,13 +82,16 @@
   std::string DataCenter;
   http::Endpoint Side;
   http::Endpoint Address;
+  /// Engines: adapter versions that can be loaded at the same time.
   int64_t Slots = 8;
+  /// Limit on the requests that run at the same time.
   int64_t MaxSequences = 16;
+  /// The upstream rejects requests with an outdated fencing number.
   bool ChecksFencing = false;
   uint64_t NameHash = 0;
 };
 
-/// A path of a plain service.
+/// A path prefix that is served by a plain service.
 struct RouteDecl {
   std::string PathPrefix;
   std::string Service;
@@ -93,20 +99,24 @@
   std::string Rank;
 };
 
-/// The weight store's limits.
+/// Limits on adapter loads from the weight store.
 struct StoreDecl {
   double LoadsPerSecond = 7;
+  /// Burst: loads that may start at once before LoadsPerSecond limits them.
   int64_t Concurrent = 2;
+  /// Number of loads in flight up to which the store serves each at full speed.
   int64_t FullSpeedInFlight = 16;
   bool operator==(const StoreDecl &) const = default;
 };
 
 struct PolicyDecl {
-  /// No two clocks of the system's instances differ by more.
+  /// Upper bound on the difference between the clocks of any two instances.
   Duration ClockSkew = std::chrono::milliseconds(250);
-  /// How long an idempotency key is remembered, from its issue time.
+  /// How long an idempotency key is retained, counted from its issue time.
   Duration KeyRetention = std::chrono::minutes(10);
+  /// Length of the lease under which a side owns shards.
   Duration Lease = std::chrono::seconds(60);
+  /// How long requests with a quarantined fingerprint are refused.
   Duration QuarantineFor = std::chrono::minutes(10);
   int64_t ShardsPerService = 16;
 };
@@ -114,17 +124,17 @@
 /// Immutable and thread-safe once built.
 class Declarations {
 public:
-  /// Checks all files and builds the set. Every problem goes to \p Findings;
-  /// the result is meaningful only if there are none. Thread-safe.
+  /// Parses and checks all files and builds the set. Adds every problem to
+  /// \p Findings; the result may be used only if there are none. Thread-safe.
   static std::shared_ptr<const Declarations>
   parse(const std::vector<DeclarationFile> &Files, uint64_t Generation,
         FindingList &Findings);
 
-  /// Reads one file's sections, with its syntax findings. Thread-safe.
-  static ReadFile read(const DeclarationFile &File);
-  /// Like parse(), from files that were read before. Thread-safe.
+  /// Parses the sections of one file, with its syntax errors. Thread-safe.
+  static ParsedFile parseFile(const DeclarationFile &File);
+  /// Like parse(), for files that are already parsed. Thread-safe.
   static std::shared_ptr<const Declarations>
-  build(std::span<const std::shared_ptr<const ReadFile>> Files,
+  build(std::span<const std::shared_ptr<const ParsedFile>> Files,
         uint64_t Generation, FindingList &Findings);
 
   uint64_t generation() const { return Generation; }
@@ -140,15 +150,15 @@
   const StoreDecl &store() const { return Store; }
   const PolicyDecl &policy() const { return Policy; }
 
-  /// Look-ups; null or nullopt if not declared.
+  /// These return null or nullopt if the name is not declared.
   const AdapterDecl *adapter(std::string_view Name) const;
   std::optional<size_t> rankIndex(std::string_view Name) const;
   const ApplicationDecl *application(std::string_view Name) const;
   const UpstreamDecl *upstream(std::string_view Name) const;
-  /// The route with the longest prefix of \p Path.
+  /// The route with the longest prefix of \p Path; null if there is none.
   const RouteDecl *route(std::string_view Path) const;
-  /// Upstreams of a model or service within a cell, in declared order; of all
-  /// cells if \p Cell is empty.
+  /// Upstreams of a model or service in a cell, or in all cells if \p Cell is
+  /// empty, in the order of their declaration.
   std::vector<const UpstreamDecl *>
   group(UpstreamKind Kind, std::string_view Group, std::string_view Cell) const;
 
@@ -160,7 +170,7 @@
   std::unordered_map<std::string, AdapterDecl> Adapters;
   std::vector<UpstreamDecl> Upstreams;
   std::unordered_map<std::string, size_t> UpstreamIndex;
-  /// Positions in Upstreams by kind, group and cell.
+  /// Indexes into Upstreams by kind, group and cell.
   std::unordered_map<std::string, std::vector<size_t>> Groups;
   std::vector<RouteDecl> Routes;
   StoreDecl Store;
@@ -168,9 +178,9 @@
 };
 
 /// True for names of letters, digits, '.', '_' and '-', at most 100 bytes.
-bool isPlainName(std::string_view Name);
+bool isValidName(std::string_view Name);
 
-/// "adapter@version", the key of a slot.
+/// The key of a slot: "adapter@version".
 std::string slotKey(std::string_view Adapter, std::string_view Version);
 
 } // namespace goldcrestlink
--- a/config/field_reader.cc
+++ b/config/field_reader.cc
@@ -1,5 +1,5 @@
-// A section has few keys, so each look-up is a scan. Numbers are parsed by
-// from_chars and must use the whole value.
+// A section has few keys, so each lookup is a linear search. Numbers are parsed
+// by from_chars, which must consume the complete value.
 #include "config/field_reader.h"
 
 #include <charconv>
@@ -10,7 +10,7 @@
 
 namespace {
 
-template <class Number> bool parseWhole(const std::string &Text, Number &Out) {
+template <class Number> bool parseNumber(const std::string &Text, Number &Out) {
   const char *End = Text.data() + Text.size();
   const auto [Stop, Error] = std::from_chars(Text.data(), End, Out);
   return Error == std::errc() && Stop == End;
@@ -25,13 +25,13 @@
 
 } // namespace
 
-const IniEntry *FieldReader::find(const char *Key, Need N) {
+const IniEntry *FieldReader::find(const char *Key, Need Presence) {
   for (size_t I = 0; I < Section.Entries.size(); ++I)
     if (Section.Entries[I].Key == Key) {
       Seen[I] = true;
       return &Section.Entries[I];
     }
-  if (N == Need::Required)
+  if (Presence == Need::Required)
     problem("section [" + Section.Kind + " " + Section.Name + "] needs '" +
             Key + "'");
   return nullptr;
@@ -45,8 +45,8 @@
   Findings.add({File, Line}, Message);
 }
 
-void FieldReader::text(const char *Key, std::string &Out, Need N) {
-  const IniEntry *E = find(Key, N);
+void FieldReader::text(const char *Key, std::string &Out, Need Presence) {
+  const IniEntry *E = find(Key, Presence);
   if (!E)
     return;
   if (E->Value.empty())
@@ -55,8 +55,8 @@
 }
 
 void FieldReader::words(const char *Key, std::vector<std::string> &Out,
-                        Need N) {
-  const IniEntry *E = find(Key, N);
+                        Need Presence) {
+  const IniEntry *E = find(Key, Presence);
   if (!E)
     return;
   Out.clear();
@@ -75,29 +75,29 @@
 }
 
 void FieldReader::integer(const char *Key, int64_t &Out, int64_t Min,
-                          int64_t Max, Need N) {
-  const IniEntry *E = find(Key, N);
+                          int64_t Max, Need Presence) {
+  const IniEntry *E = find(Key, Presence);
   if (!E)
     return;
   int64_t Value = 0;
-  if (!parseWhole(E->Value, Value) || Value < Min || Value > Max)
+  if (!parseNumber(E->Value, Value) || Value < Min || Value > Max)
     return problem(rangeText(Key, Min, Max), Key);
   Out = Value;
 }
 
 void FieldReader::number(const char *Key, double &Out, double Min, double Max,
-                         Need N) {
-  const IniEntry *E = find(Key, N);
+                         Need Presence) {
+  const IniEntry *E = find(Key, Presence);
   if (!E)
     return;
   double Value = 0;
-  if (!parseWhole(E->Value, Value) || !(Value >= Min && Value <= Max))
+  if (!parseNumber(E->Value, Value) || !(Value >= Min && Value <= Max))
     return problem(rangeText(Key, Min, Max), Key);
   Out = Value;
 }
 
-void FieldReader::boolean(const char *Key, bool &Out, Need N) {
-  const IniEntry *E = find(Key, N);
+void FieldReader::boolean(const char *Key, bool &Out, Need Presence) {
+  const IniEntry *E = find(Key, Presence);
   if (!E)
     return;
   if (E->Value != "yes" && E->Value != "no")
@@ -106,14 +106,15 @@
 }
 
 void FieldReader::millis(const char *Key, Duration &Out, int64_t Min,
-                         int64_t Max, Need N) {
+                         int64_t Max, Need Presence) {
   int64_t Value = Out.count() / 1000;
-  integer(Key, Value, Min, Max, N);
+  integer(Key, Value, Min, Max, Presence);
   Out = std::chrono::milliseconds(Value);
 }
 
-void FieldReader::endpoint(const char *Key, http::Endpoint &Out, Need N) {
-  const IniEntry *E = find(Key, N);
+void FieldReader::endpoint(const char *Key, http::Endpoint &Out,
+                           Need Presence) {
+  const IniEntry *E = find(Key, Presence);
   if (!E)
     return;
   try {
--- a/config/ini_file.cc
+++ b/config/ini_file.cc
@@ -1,7 +1,7 @@
-// inih parses; a reader callback feeds it line by line and so knows the line
-// that each handler call belongs to. Section headers are noted by the reader
-// itself, since inih reports a section only with its first key and the place
-// of a section must also be known when it has none. One pass over the text.
+// The text is parsed by inih, which gets its lines from a reader callback, so
+// that the line of each handler call is known. The callback also records the
+// section headers: inih reports a section only with its first key, but sections
+// without keys are needed too, with their line. One pass over the text.
 #include "config/ini_file.h"
 
 #include <algorithm>
@@ -31,7 +31,7 @@
   return S;
 }
 
-void noteSection(ReadState &State, std::string_view Line) {
+void recordSection(ReadState &State, std::string_view Line) {
   const size_t End = Line.find(']');
   if (Line.empty() || Line.front() != '[' || End == std::string_view::npos)
     return;
@@ -60,18 +60,18 @@
     Line = {};
   }
   if (Line.find('\0') != std::string_view::npos) {
-    State.Findings->add({*State.File, State.Line}, "line holds a NUL byte");
+    State.Findings->add({*State.File, State.Line}, "line contains a NUL byte");
     Line = {};
   }
-  noteSection(State, trim(Line));
+  recordSection(State, trim(Line));
   std::memcpy(Buffer, Line.data(), Line.size());
   Buffer[Line.size()] = '\n';
   Buffer[Line.size() + 1] = '\0';
   return Buffer;
 }
 
-// inih calls the handler with the continued name for an indented line, which
-// then appears as a second entry and is reported as a duplicate key.
+// For an indented line, inih calls the handler with the key of the line before,
+// so that the line is reported as a duplicate key.
 int onEntry(void *User, const char *, const char *Name, const char *Value) {
   auto &State = *static_cast<ReadState *>(User);
   if (State.Sections.empty()) {
@@ -80,10 +80,10 @@
     return 1;
   }
   auto &Entries = State.Sections.back().Entries;
-  const bool Twice =
+  const bool IsDuplicate =
       std::any_of(Entries.begin(), Entries.end(),
                   [&](const IniEntry &E) { return E.Key == Name; });
-  if (Twice)
+  if (IsDuplicate)
     State.Findings->add({*State.File, State.Line},
                         "key '" + std::string(Name) + "' is given twice");
   Entries.push_back({Name, Value, State.Line});
--- a/config/ini_file.h
+++ b/config/ini_file.h
@@ -1,8 +1,8 @@
-// Reads INI text into sections that remember their lines, collecting every
-// syntax problem instead of stopping at the first.
+// Parses INI text into sections with line numbers. Reports every syntax error
+// instead of stopping at the first.
 //
 //   FindingList Findings;
-//   for (const IniSection &S : readIni("a.ini", Text, Findings)) ...
+//   for (const IniSection &Section : readIni("a.ini", Text, Findings)) ...
 #ifndef GOLDCRESTLINK_CONFIG_INI_FILE_H
 #define GOLDCRESTLINK_CONFIG_INI_FILE_H
 
@@ -29,8 +29,8 @@
   std::vector<IniEntry> Entries;
 };
 
-/// Sections of \p Text in order. Problems go to \p Findings with \p File as
-/// their place. Thread-safe.
+/// Returns the sections of \p Text in order. Adds syntax errors to \p Findings,
+/// with \p File as the file name. Thread-safe.
 std::vector<IniSection> readIni(const std::string &File, std::string_view Text,
                                 FindingList &Findings);
 
--- a/config/settings.cc
+++ b/config/settings.cc
@@ -1,4 +1,5 @@
-// One section reader per section name; each key is checked by FieldReader.
+// A table maps each section name to the function that reads it; FieldReader
+// checks the keys. Linear in the text.
 #include "config/settings.h"
 
 #include <fstream>
@@ -12,9 +13,9 @@
 namespace {
 
 void readEndpoints(FieldReader &F, const char *Key,
-                   std::vector<http::Endpoint> &Out, Need N) {
+                   std::vector<http::Endpoint> &Out, Need Presence) {
   std::vector<std::string> Words;
-  F.words(Key, Words, N);
+  F.words(Key, Words, Presence);
   for (const std::string &Word : Words) {
     try {
       Out.push_back(http::Endpoint::parse(Word));
@@ -64,7 +65,7 @@
   F.boolean("brokered_loads", Out.BrokeredLoads);
   F.boolean("evict_by_recency", Out.EvictByRecency);
   if (!findChoiceStrategy(Out.Routing))
-    F.problem("'routing' names no strategy", "routing");
+    F.problem("'routing' is not a known strategy", "routing");
 }
 
 void readStore(FieldReader &F, Settings &Out) {
@@ -159,28 +160,33 @@
 }
 
 std::string defaultSettingsText() {
-  const Settings D;
+  const Settings Defaults;
   std::string Out;
   Out += "[process]\n; entry or side; required\nrole = entry\n"
          "; required\ninstance = entry-1\n; required\ndata_center = dc-1\n"
-         "; the data centre unless given\ncell = dc-1\n";
-  Out += "listen = " + D.Listen.text() + "\n";
+         "; defaults to the data centre\ncell = dc-1\n";
+  Out += "listen = " + Defaults.Listen.text() + "\n";
   Out += "; local address for connections to sides\n"
          ";source_address = 127.0.0.1\n";
-  Out += "traffic_threads = " + std::to_string(D.TrafficThreads) + "\n";
-  Out += "drain_timeout_ms = " + std::to_string(D.DrainTimeout.count() / 1000) +
-         "\n";
-  Out += "log_lines_per_second = " + std::to_string(D.LogLinesPerSecond) + "\n";
+  Out += "traffic_threads = " + std::to_string(Defaults.TrafficThreads) + "\n";
+  Out += "drain_timeout_ms = " +
+         std::to_string(Defaults.DrainTimeout.count() / 1000) + "\n";
+  Out +=
+      "log_lines_per_second = " + std::to_string(Defaults.LogLinesPerSecond) +
+      "\n";
   Out += "\n; role side only\n;[side]\n;upstream = engine-1\n;listen = " +
-         D.SideListen.text() + "\n";
-  Out += "\n[platform]\n; required\nendpoints = 127.0.0.1:9000\n"
-         "; sides asked for the configuration in an outage\n"
-         ";peers = 127.0.0.1:7000\n";
-  Out += "\n[limits]\nmax_body_bytes = " + std::to_string(D.MaxBodyBytes) +
-         "\nmax_header_bytes = " + std::to_string(D.MaxHeaderBytes) +
-         "\nmax_connections = " + std::to_string(D.MaxConnections) +
-         "\nmax_requests = " + std::to_string(D.MaxRequestsInProgress) + "\n";
-  Out += "\n; other values serve only to compare by\n[strategy]\n"
+         Defaults.SideListen.text() + "\n";
+  Out +=
+      "\n[platform]\n; required\nendpoints = 127.0.0.1:9000\n"
+      "; sides to request the configuration from while the platform is down\n"
+      ";peers = 127.0.0.1:7000\n";
+  Out +=
+      "\n[limits]\nmax_body_bytes = " + std::to_string(Defaults.MaxBodyBytes) +
+      "\nmax_header_bytes = " + std::to_string(Defaults.MaxHeaderBytes) +
+      "\nmax_connections = " + std::to_string(Defaults.MaxConnections) +
+      "\nmax_requests = " + std::to_string(Defaults.MaxRequestsInProgress) +
+      "\n";
+  Out += "\n; values other than these are for comparison only\n[strategy]\n"
          "; adaptive, random, least_loaded or consistent_hash\n"
          "routing = adaptive\nshare_ranks = yes\nbrokered_loads = yes\n"
          "evict_by_recency = no\n";
--- a/config/settings.h
+++ b/config/settings.h
@@ -14,30 +14,32 @@
 
 enum class Role { Entry, Side };
 
-/// Keys of a process that runs on the platform's store: entries call upstreams
-/// themselves, and sides admit and load for the engine on their instance.
+/// Settings of a process that uses the platform's store. Such entries send
+/// requests to upstreams directly; such sides admit requests and load adapters
+/// for the engine on their instance.
 struct FleetSettings {
-  /// The platform's store; port 0: the process does not run on it.
+  /// The platform's store; port 0 if the process does not use it.
   http::Endpoint Store{"", 0};
-  /// Entry: where the platform asks whether it is ready.
+  /// Entry: address at which the platform queries whether the entry is ready.
   http::Endpoint ReadyListen{"127.0.0.1", 8081};
-  /// Entries that may know the configuration when the store does not answer;
-  /// only their IP addresses count.
+  /// Entries from which the configuration is requested while the store does not
+  /// answer. Their ports are ignored; LinkPort is used.
   std::vector<http::Endpoint> Peers;
-  /// Own IP address, and the port on which every side listens for entries.
+  /// IP address of this process.
   std::string Address;
+  /// Port on which entries and sides listen for connections from each other.
   int64_t LinkPort = 7000;
-  /// Port on which metrics are served.
+  /// Port that serves the metrics.
   int64_t MetricsPort = 9464;
-  /// Side: its engine, and the engine's service.
+  /// Side: the engine that it runs beside, and the service of that engine.
   http::Endpoint Engine{"127.0.0.1", 8000};
   std::string Service;
-  /// Second sends that all entries together may make to a service in a window:
-  /// this share of its requests, and so many more.
+  /// Limit on the retries that all entries together send to a service within
+  /// RetryWindow: RetryRatio times the number of its requests, plus RetrySlack.
   double RetryRatio = 0.2;
   double RetrySlack = 50;
   Duration RetryWindow = std::chrono::seconds(10);
-  /// After SIGTERM, the process is gone by then.
+  /// The process exits within this time after SIGTERM.
   Duration StopTime = std::chrono::seconds(8);
 };
 
@@ -49,14 +51,16 @@
   std::string DataCenter;
   /// Local IP address for connections to sides; empty lets the system choose.
   std::string SourceAddress;
-  /// Callers' HTTP (entry) or health and metrics only (side).
+  /// Address of the HTTP server: callers' requests at an entry, only health and
+  /// metrics at a side.
   http::Endpoint Listen{"127.0.0.1", 8080};
   std::vector<http::Endpoint> Platform;
-  /// Sides that are asked for the configuration when the platform is down.
+  /// Sides from which the configuration is requested while the platform is
+  /// down.
   std::vector<http::Endpoint> Peers;
-  /// Side only: the declared upstream that this process stands beside.
+  /// Side only: the declared upstream that this process runs beside.
   std::string Upstream;
-  /// Side only: where entries and other sides connect to.
+  /// Side only: address to which entries and other sides connect.
   http::Endpoint SideListen{"127.0.0.1", 7000};
   int64_t TrafficThreads = 1;
   int64_t MaxBodyBytes = 1024 * 1024;
@@ -65,20 +69,22 @@
   int64_t MaxRequestsInProgress = 16384;
   int64_t LogLinesPerSecond = 2000;
   Duration DrainTimeout = std::chrono::minutes(2);
-  /// How an entry chooses a side: see routing/candidate_choice.h.
+  /// Strategy by which an entry chooses a side; see routing/candidate_choice.h.
   std::string Routing = "adaptive";
-  /// Side: rank order with shares, or first in, first out.
+  /// Side: schedule by rank with shares; if false, first in, first out.
   bool ShareRanks = true;
-  /// Side: permits from a broker, or loads at once.
+  /// Side: load only with a permit of the broker; if false, load at once.
   bool BrokeredLoads = true;
-  /// Side: evict the least recently used adapter, not the least demanded.
+  /// Side: evict the least recently used adapter instead of the one in least
+  /// demand.
   bool EvictByRecency = false;
   FleetSettings Fleet;
+  /// True if the process uses the platform's store.
   bool onFleet() const { return Fleet.Store.Port != 0; }
 };
 
-/// Parses and checks the text of a settings file. Throws FindingError with
-/// every problem. Thread-safe.
+/// Parses and checks the text of a settings file. Throws FindingError with all
+/// problems. Thread-safe.
 Settings parseSettings(const std::string &File, std::string_view Text);
 
 /// Reads and parses \p File. Throws FindingError.
--- a/config/testing/config_test.cc
+++ b/config/testing/config_test.cc
@@ -1,5 +1,5 @@
-// Contract tests of operators' files, settings, bundles and replicas; faults
-// in tables.
+// Tests of declaration files, settings, bundles and replicas. Tables list
+// invalid input with the finding that it must cause.
 #include <filesystem>
 #include <fstream>
 #include <iterator>
@@ -29,6 +29,7 @@
                     "model = oak\n"
                     "versions = 1 2\n";
 
+// The findings of declarations with this text.
 std::string findingsOf(const std::string &Text) {
   FindingList Findings;
   Declarations::parse({{"f.ini", Text}}, 1, Findings);
@@ -37,7 +38,7 @@
 
 struct FaultRow {
   const char *Added;
-  // Lines of Valid come first, so the first added line is number 14.
+  // The added text follows the 13 lines of Valid, so its first line is line 14.
   const char *Expected;
 };
 
@@ -81,7 +82,8 @@
 
 } // namespace
 
-TEST_CASE("a valid set has no findings and is found by name") {
+TEST_CASE(
+    "a valid set has no findings and its declarations are found by name") {
   FindingList Findings;
   const auto D = Declarations::parse({{"f.ini", Valid}}, 3, Findings);
   CHECK(Findings.text() == "");
@@ -110,11 +112,12 @@
   }
 }
 
-TEST_CASE("each fault is found at its place") {
+TEST_CASE("each error is reported with its file and line") {
   for (const FaultRow &Row : FaultRows) {
     const std::string Text = findingsOf(std::string(Valid) + Row.Added);
     CHECK_MESSAGE(Text.find(Row.Expected) != std::string::npos,
-                  "wanted: " << std::string(Row.Expected) << " got: " << Text);
+                  "expected: " << std::string(Row.Expected)
+                               << " actual: " << Text);
   }
 }
 
@@ -125,7 +128,8 @@
   CHECK(Text.find("unknown section kind") != std::string::npos);
 }
 
-TEST_CASE("garbage is findings, never a crash") {
+TEST_CASE(
+    "random bytes never crash the parser and an overlong line is reported") {
   Random R(11);
   for (int I = 0; I < 300; ++I) {
     std::string Text = Valid;
@@ -154,12 +158,12 @@
     {"[process]\nrole = entry\ntraffic_threads = 1000\n",
      "s.ini:3: 'traffic_threads' must be a number from 1 to 64"},
     {"[process]\nrole = entry\nspeed = 3\n", "s.ini:3: unknown key 'speed'"},
-    {"[strategy]\nrouting = guess\n", "names no strategy"},
+    {"[strategy]\nrouting = guess\n", "is not a known strategy"},
     {"[other]\n", "unknown section [other]"},
 };
 } // namespace
 
-TEST_CASE("settings are checked whole") {
+TEST_CASE("invalid settings are refused and the default settings are valid") {
   for (const SettingsRow &Row : SettingsRows) {
     std::string Text;
     try {
@@ -168,7 +172,8 @@
       Text = E.what();
     }
     CHECK_MESSAGE(Text.find(Row.Expected) != std::string::npos,
-                  "wanted: " << std::string(Row.Expected) << " got: " << Text);
+                  "expected: " << std::string(Row.Expected)
+                               << " actual: " << Text);
   }
   CHECK(parseSettings("d.ini", defaultSettingsText()).InstanceName ==
         "entry-1");
@@ -176,6 +181,8 @@
 
 namespace {
 
+// A set with Count adapters besides Valid. The adapter at ChangedAt has three
+// versions, the others have one.
 std::vector<DeclarationFile> manyAdapters(size_t Count, size_t ChangedAt) {
   std::string Text = Valid;
   for (size_t I = 0; I < Count; ++I)
@@ -187,38 +194,41 @@
 
 } // namespace
 
-TEST_CASE("a bundle is split, joined, and a small change moves few chunks") {
+TEST_CASE(
+    "a bundle unpacks to its files and a small change affects few chunks") {
   const auto Files = manyAdapters(20000, 0);
-  const Bundle B = packBundle(Files, 4);
-  CHECK(B.Head.ChunkHashes.size() > 50);
-  const auto Back = unpackBundle(BundleHead::parse(B.Head.text()), B.Chunks);
-  REQUIRE(Back.size() == 2);
-  CHECK(Back[0].Text == Files[0].Text);
-  CHECK(Back[1].Text == Files[1].Text);
+  const Bundle Original = packBundle(Files, 4);
+  CHECK(Original.Head.ChunkHashes.size() > 50);
+  const auto Unpacked =
+      unpackBundle(BundleHead::parse(Original.Head.text()), Original.Chunks);
+  REQUIRE(Unpacked.size() == 2);
+  CHECK(Unpacked[0].Text == Files[0].Text);
+  CHECK(Unpacked[1].Text == Files[1].Text);
   const Bundle Changed = packBundle(manyAdapters(20000, 700), 5);
-  size_t New = 0;
+  size_t NewChunks = 0;
   for (const auto &[Hash, Data] : Changed.Chunks)
-    New += B.Chunks.count(Hash) ? 0 : 1;
-  CHECK(New <= 2);
+    NewChunks += Original.Chunks.count(Hash) ? 0 : 1;
+  CHECK(NewChunks <= 2);
 }
 
-TEST_CASE("a replica takes only what is whole, intact, valid and newer") {
-  ConfigReplica R;
+TEST_CASE("a replica activates only complete, intact, valid and newer "
+          "generations") {
+  ConfigReplica Replica;
   FindingList Findings;
   const Bundle Second = packBundle({{"f.ini", Valid}}, 2);
   const Bundle First = packBundle({{"f.ini", Valid}}, 1);
-  const Bundle Broken = packBundle({{"f.ini", "[rank\n"}}, 3);
-  CHECK(R.offerHead("garbage").empty());
-  CHECK(R.offerHead(Second.Head.text()).size() == 1);
-  R.addChunk(Second.Head.ChunkHashes[0], "damaged");
-  CHECK_FALSE(R.takeReady(Findings));
-  R.addChunk(Second.Head.ChunkHashes[0], Second.Chunks.begin()->second);
-  REQUIRE(R.takeReady(Findings));
-  CHECK(R.generation() == 2);
-  CHECK(R.offerHead(First.Head.text()).empty());
-  R.offerHead(Broken.Head.text());
-  R.addChunk(Broken.Head.ChunkHashes[0], Broken.Chunks.begin()->second);
-  CHECK_FALSE(R.takeReady(Findings));
+  const Bundle Invalid = packBundle({{"f.ini", "[rank\n"}}, 3);
+  CHECK(Replica.offerHead("garbage").empty());
+  CHECK(Replica.offerHead(Second.Head.text()).size() == 1);
+  Replica.addChunk(Second.Head.ChunkHashes[0], "damaged");
+  CHECK_FALSE(Replica.takeReady(Findings));
+  Replica.addChunk(Second.Head.ChunkHashes[0], Second.Chunks.begin()->second);
+  REQUIRE(Replica.takeReady(Findings));
+  CHECK(Replica.generation() == 2);
+  CHECK(Replica.offerHead(First.Head.text()).empty());
+  Replica.offerHead(Invalid.Head.text());
+  Replica.addChunk(Invalid.Head.ChunkHashes[0], Invalid.Chunks.begin()->second);
+  CHECK_FALSE(Replica.takeReady(Findings));
   CHECK_FALSE(Findings.empty());
-  CHECK(R.generation() == 2);
+  CHECK(Replica.generation() == 2);
 }
