--- a/entry/actions.h
+++ b/entry/actions.h
@@ -1,4 +1,8 @@
-// What an EntryMachine asks its shell to do, and what callers ask of it.
+// Input and output types of an entry's state machine: callers' requests, and
+// the actions that its I/O layer performs.
+//
+//   for (Action &A : Out)
+//     std::visit(Perform, A);
 #ifndef GOLDCRESTLINK_ENTRY_ACTIONS_H
 #define GOLDCRESTLINK_ENTRY_ACTIONS_H
 
@@ -17,7 +21,7 @@
 struct CallerRequest {
   std::string Id;
   std::string Application;
-  /// Empty: the application's or route's default.
+  /// Empty for the default of the application or route.
   std::string Rank;
   /// Adapter and version; empty for calls to plain services.
   std::string Adapter;
@@ -28,15 +32,18 @@
   std::string Body;
   bool Stream = false;
   uint32_t MaxTokens = 0;
-  /// The caller's time limit; zero: the rank's default.
+  /// The caller's time limit; zero for the deadline of the rank.
   Duration TimeLimit{};
-  /// The caller's idempotency key; empty: the entry makes one if needed.
+  /// The caller's idempotency key. If it is empty, the entry generates a key
+  /// for requests that are not idempotent.
   std::string Key;
+  /// Issue time of the key in milliseconds since the Unix epoch.
   int64_t KeyIssuedMs = 0;
 };
 
-/// Send to a side. If it could not be taken, the shell says so by
-/// onSendFailed with the attempt id, if the message was an attempt.
+/// Send a message to the side beside \c Upstream. If an attempt could not be
+/// passed to a connection, the I/O layer calls onSendFailed with the attempt
+/// id.
 struct SendSide {
   std::string Upstream;
   wire::Envelope Message;
@@ -54,18 +61,18 @@
   std::string ContentType;
 };
 
-/// A part of a streamed answer.
+/// Send a part of a streamed answer to a caller.
 struct DeliverData {
   std::string RequestId;
   std::string Bytes;
 };
 
-/// The streamed answer is whole.
+/// End a streamed answer; it is complete.
 struct DeliverEnd {
   std::string RequestId;
 };
 
-/// A whole answer.
+/// Send a complete answer that is not streamed.
 struct DeliverWhole {
   std::string RequestId;
   unsigned Status = 200;
@@ -73,8 +80,8 @@
   std::string Body;
 };
 
-/// A refusal or failure. In a stream it becomes an explicit error event, and
-/// the stream is cut without its end mark.
+/// Report a refusal or failure to a caller. If the answer is already streamed,
+/// the error is sent as an event and the stream ends without its end marker.
 struct DeliverError {
   std::string RequestId;
   Code Why = Code::None;
@@ -83,13 +90,13 @@
   bool InStream = false;
 };
 
-/// One line for the decision log.
+/// Write one line to the decision log.
 struct LogDecision {
   LineClass Class;
   std::string Line;
 };
 
-/// How a request went, for metrics.
+/// Result of a request that ended, for the metrics.
 struct RequestRecord {
   std::string Rank;
   std::string Application;
--- a/entry/entry_answers.cc
+++ b/entry/entry_answers.cc
@@ -1,6 +1,10 @@
-// Following attempts: events in order, gaps and silences, refusals, retries.
-// Events are taken only from the side that the attempt was sent to and only in
-// sequence; anything else is late or crossed and is dropped.
+// Handling of replies: ordered delivery of an attempt's events, gaps, silent
+// sides, refusals and retries. An event is accepted only from the side that the
+// attempt was sent to and only in sequence. An event with an earlier sequence
+// number, of a closed attempt or from another side is dropped; a later one
+// makes the entry request the events in between. The cost per event does not
+// depend on the number of requests; checking for silent sides is linear in the
+// sides and their open attempts.
 #include <algorithm>
 #include <array>
 #include <cassert>
@@ -11,18 +15,20 @@
 
 namespace {
 
-// Refusals after which another side, or the same one later, may do better.
+// Refusals after which an attempt at another side, or at the same side later,
+// may succeed.
 constexpr std::array RetryableCodes = {
     Code::Overloaded,   Code::DeadlineUnreachable, Code::Leaving,
     Code::UpstreamDown, Code::LoadFailed,          Code::NeverArrived,
     Code::Interrupted,  Code::WrongUpstream,       Code::NoUpstream,
     Code::Cancelled,    Code::UpstreamCrashed,     Code::StaleFencing};
-// Problems that may be over soon; worth waiting for while time is left.
-constexpr std::array PassingCodes = {Code::Leaving,        Code::UpstreamDown,
-                                     Code::NoUpstream,     Code::Interrupted,
-                                     Code::NeverArrived,   Code::WrongUpstream,
-                                     Code::UpstreamCrashed};
-constexpr uint32_t MaxUnreachableTargetAttempts = 2;
+// Failures that are expected to end soon, so that the request is retried after
+// a backoff while time is left.
+constexpr std::array TransientCodes = {
+    Code::Leaving,        Code::UpstreamDown, Code::NoUpstream,
+    Code::Interrupted,    Code::NeverArrived, Code::WrongUpstream,
+    Code::UpstreamCrashed};
+constexpr uint32_t MaxDeadlineUnreachableAttempts = 2;
 
 template <size_t Size>
 bool contains(const std::array<Code, Size> &List, Code C) {
@@ -31,239 +37,253 @@
 
 } // namespace
 
-void EntryMachine::onEnvelope(const Now &N, const std::string &Upstream,
+void EntryMachine::onEnvelope(const Now &Now, const std::string &Upstream,
                               const wire::Envelope &Message, Actions &Out) {
   if (!Config->upstream(Upstream) && !Views.count(Upstream))
     return;
-  Views[Upstream].heard(N.Steady);
+  Views[Upstream].heard(Now.Steady);
   if (Message.has_event())
-    return onEvent(N, Upstream, Message.event(), Out);
+    return onEvent(Now, Upstream, Message.event(), Out);
   if (Message.has_probe_reply())
-    return onProbeReply(N, Upstream, Message.probe_reply(), Out);
+    return onProbeReply(Now, Upstream, Message.probe_reply(), Out);
 }
 
-// A side that accepted the attempt and now says that it never arrived has
-// restarted since.
-bool EntryMachine::isLost(const Attempt &T, const wire::AttemptEvent &E) {
-  return E.kind() == wire::AttemptEvent::REFUSED && T.NextSequence > 0 &&
-         E.sequence() == 0 && codeFromName(E.code()) == Code::NeverArrived;
+// A side that sent events of this attempt and now reports that the attempt
+// never arrived has restarted and lost it.
+bool EntryMachine::isLost(const Attempt &Sent,
+                          const wire::AttemptEvent &Event) {
+  return Event.kind() == wire::AttemptEvent::REFUSED && Sent.NextSequence > 0 &&
+         Event.sequence() == 0 &&
+         codeFromName(Event.code()) == Code::NeverArrived;
 }
 
-void EntryMachine::onEvent(const Now &N, const std::string &Upstream,
-                           const wire::AttemptEvent &E, Actions &Out) {
-  if (E.has_state())
-    Views[Upstream].learn(N.Steady, E.state());
-  const auto It = Attempts.find(E.attempt_id());
+void EntryMachine::onEvent(const Now &Now, const std::string &Upstream,
+                           const wire::AttemptEvent &Event, Actions &Out) {
+  if (Event.has_state())
+    Views[Upstream].learn(Now.Steady, Event.state());
+  const auto It = Attempts.find(Event.attempt_id());
   if (It == Attempts.end() || It->second.Upstream != Upstream)
     return;
-  Attempt &T = It->second;
-  T.Heard = true;
-  if (isLost(T, E)) {
+  Attempt &OpenAttempt = It->second;
+  OpenAttempt.SideResponded = true;
+  if (isLost(OpenAttempt, Event)) {
     wire::AttemptEvent Failed;
-    Failed.set_attempt_id(E.attempt_id());
+    Failed.set_attempt_id(Event.attempt_id());
     Failed.set_code(std::string(codeName(Code::Interrupted)));
     Failed.set_outcome(wire::OUTCOME_UNKNOWN);
-    return onFailed(N, Requests.at(T.RequestId), Failed, Out);
+    return onFailed(Now, Requests.at(OpenAttempt.RequestId), Failed, Out);
   }
-  if (E.sequence() < T.NextSequence)
+  if (Event.sequence() < OpenAttempt.NextSequence)
     return;
-  if (E.sequence() > T.NextSequence) {
+  if (Event.sequence() > OpenAttempt.NextSequence) {
     SendSide Send{Upstream, envelope()};
-    Send.Message.mutable_resume()->set_attempt_id(E.attempt_id());
-    Send.Message.mutable_resume()->set_next_sequence(T.NextSequence);
-    Views[Upstream].asked(N.Steady);
+    Send.Message.mutable_resume()->set_attempt_id(Event.attempt_id());
+    Send.Message.mutable_resume()->set_next_sequence(OpenAttempt.NextSequence);
+    Views[Upstream].asked(Now.Steady);
     Out.emplace_back(std::move(Send));
     return;
   }
-  ++T.NextSequence;
-  ActiveRequest &A = Requests.at(T.RequestId);
-  switch (E.kind()) {
+  ++OpenAttempt.NextSequence;
+  ActiveRequest &Active = Requests.at(OpenAttempt.RequestId);
+  switch (Event.kind()) {
   case wire::AttemptEvent::HEAD:
-    A.HeadStatus = E.status();
-    A.HeadType = E.content_type();
+    Active.HeadStatus = Event.status();
+    Active.HeadContentType = Event.content_type();
     return;
   case wire::AttemptEvent::DATA:
-    if (A.FirstByte == Time{})
-      A.FirstByte = N.Steady;
-    deliverHead(A, Out);
-    Out.emplace_back(DeliverData{A.Ask.Id, E.data()});
+    if (Active.FirstByte == Time{})
+      Active.FirstByte = Now.Steady;
+    deliverHead(Active, Out);
+    Out.emplace_back(DeliverData{Active.Request.Id, Event.data()});
     return;
   case wire::AttemptEvent::DONE:
-    return onDone(N, A, E, Out);
+    return onDone(Now, Active, Event, Out);
   case wire::AttemptEvent::REFUSED: {
-    const Attempt Copy = T;
-    return onRefused(N, A, Copy, E, Out);
+    const Attempt Refused = OpenAttempt;
+    return onRefused(Now, Active, Refused, Event, Out);
   }
   case wire::AttemptEvent::FAILED:
-    return onFailed(N, A, E, Out);
+    return onFailed(Now, Active, Event, Out);
   default:
-    return; // ACCEPTED: hearing it was all.
+    return; // ACCEPTED needs no action beyond SideResponded.
   }
 }
 
-void EntryMachine::onDone(const Now &N, ActiveRequest &A,
-                          const wire::AttemptEvent &E, Actions &Out) {
-  const std::string Id = A.Ask.Id;
-  if (A.FirstByte == Time{})
-    A.FirstByte = N.Steady;
-  if (A.HeadStatus != 0) {
-    deliverHead(A, Out);
-    if (!E.data().empty())
-      Out.emplace_back(DeliverData{Id, E.data()});
+void EntryMachine::onDone(const Now &Now, ActiveRequest &Active,
+                          const wire::AttemptEvent &Event, Actions &Out) {
+  const std::string Id = Active.Request.Id;
+  if (Active.FirstByte == Time{})
+    Active.FirstByte = Now.Steady;
+  if (Active.HeadStatus != 0) {
+    deliverHead(Active, Out);
+    if (!Event.data().empty())
+      Out.emplace_back(DeliverData{Id, Event.data()});
     Out.emplace_back(DeliverEnd{Id});
   } else {
-    Out.emplace_back(DeliverWhole{Id, E.status(), E.content_type(), E.data()});
+    Out.emplace_back(
+        DeliverWhole{Id, Event.status(), Event.content_type(), Event.data()});
   }
-  finish(N, Id, Code::None, Outcome::Ran, Out);
+  finish(Now, Id, Code::None, Outcome::Ran, Out);
 }
 
-void EntryMachine::deliverHead(ActiveRequest &A, Actions &Out) {
-  if (A.HeadDelivered)
+void EntryMachine::deliverHead(ActiveRequest &Active, Actions &Out) {
+  if (Active.HeadDelivered)
     return;
-  A.HeadDelivered = true;
-  Out.emplace_back(DeliverHead{A.Ask.Id, A.HeadStatus, A.HeadType});
+  Active.HeadDelivered = true;
+  Out.emplace_back(DeliverHead{Active.Request.Id, Active.HeadStatus,
+                               Active.HeadContentType});
 }
 
 void EntryMachine::closeAttempt(const std::string &AttemptId) {
   const auto It = Attempts.find(AttemptId);
   assert(It != Attempts.end());
-  OpenAt[It->second.Upstream].erase(AttemptId);
-  Requests.at(It->second.RequestId).Open.clear();
+  OpenAttemptsBySide[It->second.Upstream].erase(AttemptId);
+  Requests.at(It->second.RequestId).OpenAttempt.clear();
   Attempts.erase(It);
 }
 
-// Gives up an unanswered attempt, which may nevertheless run.
-void EntryMachine::abandonAttempt(ActiveRequest &A, Actions &Out) {
-  if (A.Open.empty())
+// Cancels and closes the open attempt. The side may run it nevertheless.
+void EntryMachine::abandonAttempt(ActiveRequest &Active, Actions &Out) {
+  if (Active.OpenAttempt.empty())
     return;
-  SendSide Send{Attempts.at(A.Open).Upstream, envelope()};
-  Send.Message.mutable_cancel()->set_attempt_id(A.Open);
+  SendSide Send{Attempts.at(Active.OpenAttempt).Upstream, envelope()};
+  Send.Message.mutable_cancel()->set_attempt_id(Active.OpenAttempt);
   Out.emplace_back(std::move(Send));
-  closeAttempt(A.Open);
-  A.MaybeRan = true;
+  closeAttempt(Active.OpenAttempt);
+  Active.MayHaveRun = true;
 }
 
-void EntryMachine::onRefused(const Now &N, ActiveRequest &A, const Attempt &T,
-                             const wire::AttemptEvent &E, Actions &Out) {
-  const Code Why = codeFromName(E.code());
-  closeAttempt(E.attempt_id());
-  A.LastProblem = Why;
-  A.Attested = E.outcome() == wire::OUTCOME_NOT_RUN;
-  A.MaybeRan |= E.outcome() == wire::OUTCOME_UNKNOWN;
-  // Only the incarnation that the attempt was sent to can deny it.
-  const bool SameSide =
-      T.Incarnation != 0 && T.Incarnation == Views[T.Upstream].incarnation();
-  if (Why == Code::NeverArrived && !SameSide)
-    A.MaybeRan = true;
-  if (E.suspect() && A.Kind == UpstreamKind::Engine && !A.Isolated) {
-    A.Isolated = true;
-    A.Tried.clear();
-    return route(N, A.Ask.Id, Out);
+void EntryMachine::onRefused(const Now &Now, ActiveRequest &Active,
+                             const Attempt &Refused,
+                             const wire::AttemptEvent &Event, Actions &Out) {
+  const Code Why = codeFromName(Event.code());
+  closeAttempt(Event.attempt_id());
+  Active.LastFailure = Why;
+  Active.ConfirmedNotRun = Event.outcome() == wire::OUTCOME_NOT_RUN;
+  Active.MayHaveRun |= Event.outcome() == wire::OUTCOME_UNKNOWN;
+  // Only the incarnation that the attempt was sent to can rule out that it
+  // arrived.
+  const bool SameIncarnation =
+      Refused.Incarnation != 0 &&
+      Refused.Incarnation == Views[Refused.Upstream].incarnation();
+  if (Why == Code::NeverArrived && !SameIncarnation)
+    Active.MayHaveRun = true;
+  if (Event.suspect() && Active.Kind == UpstreamKind::Engine &&
+      !Active.Isolated) {
+    Active.Isolated = true;
+    Active.TriedUpstreams.clear();
+    return route(Now, Active.Request.Id, Out);
   }
-  if (!A.Idempotent && (Why == Code::NotOwner || Why == Code::LeaseLapsed)) {
-    A.OwnerHint = E.owner_hint();
-    const bool Elsewhere = !A.OwnerHint.empty() && A.OwnerHint != T.Upstream;
-    return Elsewhere && !A.Tried.count(A.OwnerHint)
-               ? (A.Tried.insert(T.Upstream), route(N, A.Ask.Id, Out))
-               : pause(N, A);
+  if (!Active.Idempotent &&
+      (Why == Code::NotOwner || Why == Code::LeaseLapsed)) {
+    Active.OwnerHint = Event.owner_hint();
+    const bool OwnerElsewhere =
+        !Active.OwnerHint.empty() && Active.OwnerHint != Refused.Upstream;
+    return OwnerElsewhere && !Active.TriedUpstreams.count(Active.OwnerHint)
+               ? (Active.TriedUpstreams.insert(Refused.Upstream),
+                  route(Now, Active.Request.Id, Out))
+               : backOff(Now, Active);
   }
-  A.Tried.insert(T.Upstream);
+  Active.TriedUpstreams.insert(Refused.Upstream);
   if (!contains(RetryableCodes, Why))
-    return fail(N, A.Ask.Id, Why, Out);
-  if (!A.Idempotent && contains(PassingCodes, Why))
-    return pause(N, A);
-  if (!A.Idempotent)
-    return fail(N, A.Ask.Id, Why, Out);
+    return fail(Now, Active.Request.Id, Why, Out);
+  if (!Active.Idempotent && contains(TransientCodes, Why))
+    return backOff(Now, Active);
+  if (!Active.Idempotent)
+    return fail(Now, Active.Request.Id, Why, Out);
   if (Why == Code::DeadlineUnreachable &&
-      A.Attempts >= MaxUnreachableTargetAttempts)
-    return fail(N, A.Ask.Id, Why, Out);
-  retryOrFail(N, A, Out);
+      Active.AttemptCount >= MaxDeadlineUnreachableAttempts)
+    return fail(Now, Active.Request.Id, Why, Out);
+  retryOrFail(Now, Active, Out);
 }
 
-void EntryMachine::onFailed(const Now &N, ActiveRequest &A,
-                            const wire::AttemptEvent &E, Actions &Out) {
-  const std::string Upstream = Attempts.at(E.attempt_id()).Upstream;
-  const Code Why = codeFromName(E.code());
-  closeAttempt(E.attempt_id());
-  A.LastProblem = Why;
-  A.Ran |= E.outcome() == wire::OUTCOME_RAN;
-  A.MaybeRan |= E.outcome() != wire::OUTCOME_NOT_RUN;
-  const bool WasIsolated = A.Isolated;
-  A.Isolated |= E.suspect();
-  // A suspect that crashed its upstream alone, or whose answer has begun, is
-  // not tried again.
-  const bool Final = !A.Idempotent || A.HeadDelivered ||
-                     (WasIsolated && E.suspect()) ||
-                     Why == Code::DeadlineExceeded;
-  if (Final)
-    return fail(N, A.Ask.Id, Why, Out);
-  if (A.Isolated)
-    A.Tried.clear();
-  A.Tried.insert(Upstream);
-  retryOrFail(N, A, Out);
+void EntryMachine::onFailed(const Now &Now, ActiveRequest &Active,
+                            const wire::AttemptEvent &Event, Actions &Out) {
+  const std::string Upstream = Attempts.at(Event.attempt_id()).Upstream;
+  const Code Why = codeFromName(Event.code());
+  closeAttempt(Event.attempt_id());
+  Active.LastFailure = Why;
+  Active.Ran |= Event.outcome() == wire::OUTCOME_RAN;
+  Active.MayHaveRun |= Event.outcome() != wire::OUTCOME_NOT_RUN;
+  const bool WasIsolated = Active.Isolated;
+  Active.Isolated |= Event.suspect();
+  // A suspect that crashed its upstream while it ran alone is not retried, nor
+  // is a request whose answer the caller has already begun to receive.
+  const bool NoRetry = !Active.Idempotent || Active.HeadDelivered ||
+                       (WasIsolated && Event.suspect()) ||
+                       Why == Code::DeadlineExceeded;
+  if (NoRetry)
+    return fail(Now, Active.Request.Id, Why, Out);
+  if (Active.Isolated)
+    Active.TriedUpstreams.clear();
+  Active.TriedUpstreams.insert(Upstream);
+  retryOrFail(Now, Active, Out);
 }
 
-void EntryMachine::retryOrFail(const Now &N, ActiveRequest &A, Actions &Out) {
-  const bool Any = !candidates(N, A).empty();
-  if (!Any) {
-    if (contains(PassingCodes, A.LastProblem) && N.Steady < A.Target)
-      return pause(N, A);
-    return fail(N, A.Ask.Id, A.LastProblem, Out);
+void EntryMachine::retryOrFail(const Now &Now, ActiveRequest &Active,
+                               Actions &Out) {
+  const bool HasCandidate = !candidateUpstreams(Now, Active).empty();
+  if (!HasCandidate) {
+    if (contains(TransientCodes, Active.LastFailure) &&
+        Now.Steady < Active.Target)
+      return backOff(Now, Active);
+    return fail(Now, Active.Request.Id, Active.LastFailure, Out);
   }
-  const bool First = A.Attempts == 0;
-  if (!First && (A.Attempts >= Opts.maxAttempts() || !Budget.take()))
-    return fail(N, A.Ask.Id, A.LastProblem, Out);
-  route(N, A.Ask.Id, Out);
+  const bool First = Active.AttemptCount == 0;
+  if (!First && (Active.AttemptCount >= Opts.maxAttempts() || !Budget.take()))
+    return fail(Now, Active.Request.Id, Active.LastFailure, Out);
+  route(Now, Active.Request.Id, Out);
 }
 
-void EntryMachine::onSendFailed(const Now &N, const std::string &AttemptId,
+void EntryMachine::onSendFailed(const Now &Now, const std::string &AttemptId,
                                 Actions &Out) {
   const auto It = Attempts.find(AttemptId);
   if (It == Attempts.end())
     return;
   const std::string Upstream = It->second.Upstream;
-  ActiveRequest &A = Requests.at(It->second.RequestId);
+  ActiveRequest &Active = Requests.at(It->second.RequestId);
   closeAttempt(AttemptId);
-  --A.Attempts;
-  A.LastProblem = Code::NoUpstream;
-  if (!A.Idempotent)
-    return pause(N, A);
-  A.Tried.insert(Upstream);
-  retryOrFail(N, A, Out);
+  --Active.AttemptCount;
+  Active.LastFailure = Code::NoUpstream;
+  if (!Active.Idempotent)
+    return backOff(Now, Active);
+  Active.TriedUpstreams.insert(Upstream);
+  retryOrFail(Now, Active, Out);
 }
 
-void EntryMachine::judgeSides(const Now &N, Actions &Out) {
+void EntryMachine::checkSilentSides(const Now &Now, Actions &Out) {
   std::vector<std::pair<std::string, SideView::Verdict>> Verdicts;
   for (auto &[Name, View] : Views) {
-    const auto Open = OpenAt.find(Name);
-    const size_t Outstanding = Open == OpenAt.end() ? 0 : Open->second.size();
-    const auto V = View.judge(N.Steady, Opts.sideView(), Outstanding);
-    if (V != SideView::Verdict::Fine)
-      Verdicts.emplace_back(Name, V);
+    const auto Open = OpenAttemptsBySide.find(Name);
+    const size_t Outstanding =
+        Open == OpenAttemptsBySide.end() ? 0 : Open->second.size();
+    const auto Verdict = View.judge(Now.Steady, Opts.sideView(), Outstanding);
+    if (Verdict != SideView::Verdict::Fine)
+      Verdicts.emplace_back(Name, Verdict);
   }
-  for (const auto &[Name, V] : Verdicts) {
-    if (V == SideView::Verdict::Unreachable) {
+  for (const auto &[Name, Verdict] : Verdicts) {
+    if (Verdict == SideView::Verdict::Unreachable) {
       Out.emplace_back(
           LogDecision{LineClass::Kept, "unreachable upstream=" + Name});
-      moveAway(N, Name, Out);
+      failOver(Now, Name, Out);
       continue;
     }
-    if (V == SideView::Verdict::Reset) {
+    if (Verdict == SideView::Verdict::Reset) {
       Out.emplace_back(
           LogDecision{LineClass::Kept, "reset connection upstream=" + Name});
       Out.emplace_back(ResetConnection{Name});
     }
-    askAgain(N, Name, Out);
+    probeAndResume(Now, Name, Out);
   }
 }
 
-void EntryMachine::askAgain(const Now &N, const std::string &Upstream,
-                            Actions &Out) {
-  Views[Upstream].asked(N.Steady);
-  SendSide Ask{Upstream, envelope()};
-  Ask.Message.mutable_probe()->set_probe_id(nextId());
-  Out.emplace_back(std::move(Ask));
-  for (const std::string &Id : OpenAt[Upstream]) {
+void EntryMachine::probeAndResume(const Now &Now, const std::string &Upstream,
+                                  Actions &Out) {
+  Views[Upstream].asked(Now.Steady);
+  SendSide Probe{Upstream, envelope()};
+  Probe.Message.mutable_probe()->set_probe_id(nextId());
+  Out.emplace_back(std::move(Probe));
+  for (const std::string &Id : OpenAttemptsBySide[Upstream]) {
     SendSide Send{Upstream, envelope()};
     Send.Message.mutable_resume()->set_attempt_id(Id);
     Send.Message.mutable_resume()->set_next_sequence(
@@ -272,22 +292,23 @@
   }
 }
 
-// The side cannot be reached: what may be repeated and has not begun to answer
-// is tried elsewhere. The rest stays open, in case the side comes back.
-void EntryMachine::moveAway(const Now &N, const std::string &Upstream,
+// Handles an unreachable side: idempotent requests whose answer has not begun
+// are sent to another side. The other attempts stay open in case the side
+// becomes reachable again.
+void EntryMachine::failOver(const Now &Now, const std::string &Upstream,
                             Actions &Out) {
-  const std::set<std::string> Open = OpenAt[Upstream];
+  const std::set<std::string> Open = OpenAttemptsBySide[Upstream];
   for (const std::string &Id : Open) {
     const auto It = Attempts.find(Id);
     if (It == Attempts.end())
       continue;
-    ActiveRequest &A = Requests.at(It->second.RequestId);
-    if (!A.Idempotent || A.HeadDelivered)
+    ActiveRequest &Active = Requests.at(It->second.RequestId);
+    if (!Active.Idempotent || Active.HeadDelivered)
       continue;
-    abandonAttempt(A, Out);
-    A.LastProblem = Code::NoUpstream;
-    A.Tried.insert(Upstream);
-    retryOrFail(N, A, Out);
+    abandonAttempt(Active, Out);
+    Active.LastFailure = Code::NoUpstream;
+    Active.TriedUpstreams.insert(Upstream);
+    retryOrFail(Now, Active, Out);
   }
 }
 
--- a/entry/entry_machine.cc
+++ b/entry/entry_machine.cc
@@ -1,9 +1,10 @@
-// Intake and ends of requests. Choosing a side is in entry_routing.cc,
-// following answers and silences in entry_answers.cc.
+// Acceptance and completion of requests. The choice of a side is in
+// entry_routing.cc; replies and silent sides are handled in entry_answers.cc.
 //
-// A request is in Requests from intake to its one end. It has at most one open
-// attempt; an attempt that is given up while unanswered leaves a mark, so that
-// "not run" is said only when every attempt was denied. Requests are bounded
+// A request is in Requests from its arrival until it ends, which it does
+// exactly once. It has at most one open attempt. An attempt that is abandoned
+// before its side answered sets MayHaveRun, so that the caller is told "not
+// run" only when every attempt is known not to have run. Requests are bounded
 // by maxRequests, attempts per request by maxAttempts and the retry budget.
 #include "entry/entry_machine.h"
 
@@ -20,19 +21,19 @@
 constexpr Duration RefusalRetryAfter = std::chrono::seconds(1);
 } // namespace
 
-EntryMachine::EntryMachine(Options O,
-                           std::shared_ptr<const Declarations> InForce,
-                           std::string InCell, uint64_t FromSeed)
-    : Opts(O), Config(std::move(InForce)), Cell(std::move(InCell)),
-      Seed(FromSeed), Rand(FromSeed),
-      Budget(RetriesPerRequest, MaxSavedRetries) {}
+EntryMachine::EntryMachine(Options Opts,
+                           std::shared_ptr<const Declarations> Config,
+                           std::string Cell, uint64_t Seed)
+    : Opts(Opts), Config(std::move(Config)), Cell(std::move(Cell)), Seed(Seed),
+      Rand(Seed), Budget(RetriesPerRequest, MaxSavedRetries) {}
 
-void EntryMachine::onConfig(std::shared_ptr<const Declarations> Newer) {
-  assert(Newer->generation() >= Config->generation());
-  Config = std::move(Newer);
+void EntryMachine::onConfig(std::shared_ptr<const Declarations> NewConfig) {
+  assert(NewConfig->generation() >= Config->generation());
+  Config = std::move(NewConfig);
   std::erase_if(Views, [&](const auto &Item) {
-    const auto Open = OpenAt.find(Item.first);
-    const bool InUse = Open != OpenAt.end() && !Open->second.empty();
+    const auto Open = OpenAttemptsBySide.find(Item.first);
+    const bool InUse =
+        Open != OpenAttemptsBySide.end() && !Open->second.empty();
     return !Config->upstream(Item.first) && !InUse;
   });
 }
@@ -51,43 +52,45 @@
   return E;
 }
 
-Code EntryMachine::classifyCompletion(ActiveRequest &A,
+Code EntryMachine::classifyCompletion(ActiveRequest &Active,
                                       std::string &RankName) const {
-  const AdapterDecl *Adapter = Config->adapter(A.Ask.Adapter);
+  const AdapterDecl *Adapter = Config->adapter(Active.Request.Adapter);
   if (!Adapter)
     return Code::UnknownAdapter;
   const auto &Versions = Adapter->Versions;
-  if (std::find(Versions.begin(), Versions.end(), A.Ask.Version) ==
+  if (std::find(Versions.begin(), Versions.end(), Active.Request.Version) ==
       Versions.end())
     return Code::UnknownVersion;
-  A.Kind = UpstreamKind::Engine;
-  A.Group = Adapter->Model;
-  A.SlotHash = hash64(slotKey(A.Ask.Adapter, A.Ask.Version));
-  if (RankName.empty() && A.Ask.Application.empty())
+  Active.Kind = UpstreamKind::Engine;
+  Active.Group = Adapter->Model;
+  Active.SlotHash =
+      hash64(slotKey(Active.Request.Adapter, Active.Request.Version));
+  if (RankName.empty() && Active.Request.Application.empty())
     RankName = Config->ranks().front().Name;
   return Code::None;
 }
 
-Code EntryMachine::classifyRoute(ActiveRequest &A,
+Code EntryMachine::classifyRoute(ActiveRequest &Active,
                                  std::string &RankName) const {
-  const RouteDecl *Route = Config->route(A.Ask.Path);
+  const RouteDecl *Route = Config->route(Active.Request.Path);
   if (!Route)
     return Code::UnknownRoute;
-  A.Kind = UpstreamKind::Service;
-  A.Group = Route->Service;
-  A.Idempotent = Route->Idempotent;
+  Active.Kind = UpstreamKind::Service;
+  Active.Group = Route->Service;
+  Active.Idempotent = Route->Idempotent;
   if (RankName.empty())
     RankName = Route->Rank;
   return Code::None;
 }
 
-Code EntryMachine::classify(ActiveRequest &A) const {
+Code EntryMachine::classify(ActiveRequest &Active) const {
   if (Config->ranks().empty())
     return Code::NotConfigured;
-  std::string RankName = A.Ask.Rank;
-  const bool Completion = !A.Ask.Adapter.empty();
-  if (!A.Ask.Application.empty()) {
-    const ApplicationDecl *App = Config->application(A.Ask.Application);
+  std::string RankName = Active.Request.Rank;
+  const bool Completion = !Active.Request.Adapter.empty();
+  if (!Active.Request.Application.empty()) {
+    const ApplicationDecl *App =
+        Config->application(Active.Request.Application);
     if (!App)
       return Code::UnknownApplication;
     if (RankName.empty() && Completion)
@@ -98,145 +101,150 @@
     if (!Allowed)
       return Code::UnknownRank;
   }
-  const Code Problem =
-      Completion ? classifyCompletion(A, RankName) : classifyRoute(A, RankName);
+  const Code Problem = Completion ? classifyCompletion(Active, RankName)
+                                  : classifyRoute(Active, RankName);
   if (Problem != Code::None)
     return Problem;
   const auto Rank = Config->rankIndex(RankName);
   if (!Rank)
     return Code::UnknownRank;
-  A.Rank = Config->ranks()[*Rank];
+  Active.Rank = Config->ranks()[*Rank];
   return Code::None;
 }
 
-void EntryMachine::onRequest(const Now &N, CallerRequest R, Actions &Out) {
-  const std::string Id = R.Id;
+void EntryMachine::onRequest(const Now &Now, CallerRequest Request,
+                             Actions &Out) {
+  const std::string Id = Request.Id;
   assert(!Requests.count(Id));
   Budget.onRequest();
-  ActiveRequest A;
-  A.Ask = std::move(R);
-  A.Arrived = N.Steady;
-  A.ReceivedMs = unixMillis(N.Wall);
-  A.KeyFromCaller = !A.Ask.Key.empty();
-  const Code Problem = classify(A);
+  ActiveRequest Active;
+  Active.Request = std::move(Request);
+  Active.Arrived = Now.Steady;
+  Active.ReceivedMs = unixMillis(Now.Wall);
+  Active.KeyFromCaller = !Active.Request.Key.empty();
+  const Code Problem = classify(Active);
   if (Problem == Code::None && Requests.size() >= Opts.maxRequests()) {
-    const bool Vouched = A.Idempotent || !A.KeyFromCaller;
-    Requests.emplace(Id, std::move(A));
-    return finish(N, Id, Code::Overloaded,
-                  Vouched ? Outcome::NotRun : Outcome::Unknown, Out);
+    const bool KnownNotRun = Active.Idempotent || !Active.KeyFromCaller;
+    Requests.emplace(Id, std::move(Active));
+    return finish(Now, Id, Code::Overloaded,
+                  KnownNotRun ? Outcome::NotRun : Outcome::Unknown, Out);
   }
-  if (!A.Idempotent && !A.KeyFromCaller) {
-    A.Ask.Key = nextId();
-    A.Ask.KeyIssuedMs = A.ReceivedMs;
+  if (!Active.Idempotent && !Active.KeyFromCaller) {
+    Active.Request.Key = nextId();
+    Active.Request.KeyIssuedMs = Active.ReceivedMs;
   }
-  const Duration Limit =
-      A.Ask.TimeLimit.count() > 0 ? A.Ask.TimeLimit : A.Rank.Deadline;
-  A.Deadline = N.Steady + Limit;
-  A.Target = N.Steady + std::min(A.Rank.Target, Limit);
-  A.Fingerprint =
-      hash64(A.Ask.Body, hash64(A.Ask.Method + " " + A.Ask.Path + " " +
-                                slotKey(A.Ask.Adapter, A.Ask.Version)));
-  Requests.emplace(Id, std::move(A));
+  const Duration Limit = Active.Request.TimeLimit.count() > 0
+                             ? Active.Request.TimeLimit
+                             : Active.Rank.Deadline;
+  Active.Deadline = Now.Steady + Limit;
+  Active.Target = Now.Steady + std::min(Active.Rank.Target, Limit);
+  Active.Fingerprint =
+      hash64(Active.Request.Body,
+             hash64(Active.Request.Method + " " + Active.Request.Path + " " +
+                    slotKey(Active.Request.Adapter, Active.Request.Version)));
+  Requests.emplace(Id, std::move(Active));
   if (Problem != Code::None)
-    return finish(N, Id, Problem, Outcome::NotRun, Out);
-  route(N, Id, Out);
+    return finish(Now, Id, Problem, Outcome::NotRun, Out);
+  route(Now, Id, Out);
 }
 
-void EntryMachine::onCallerGone(const Now &N, const std::string &RequestId,
+void EntryMachine::onCallerGone(const Now &Now, const std::string &RequestId,
                                 Actions &Out) {
   const auto It = Requests.find(RequestId);
   if (It == Requests.end())
     return;
   if (It->second.Idempotent)
     abandonAttempt(It->second, Out);
-  finish(N, RequestId, Code::Cancelled, outcomeOf(It->second), Out);
+  finish(Now, RequestId, Code::Cancelled, outcomeOf(It->second), Out);
 }
 
-Outcome EntryMachine::outcomeOf(const ActiveRequest &A) const {
-  if (A.Ran)
+Outcome EntryMachine::outcomeOf(const ActiveRequest &Active) const {
+  if (Active.Ran)
     return Outcome::Ran;
-  if (Opts.countOpenAttempts() && (A.MaybeRan || !A.Open.empty()))
+  if (Opts.countOpenAttempts() &&
+      (Active.MayHaveRun || !Active.OpenAttempt.empty()))
     return Outcome::Unknown;
-  // An earlier submission of the caller's key may have run; only the key's
-  // owner can rule that out.
-  if (!A.Idempotent && A.KeyFromCaller && !A.Attested)
+  // A request that the caller sent earlier with the same key may have run; only
+  // the owner of the key can rule that out.
+  if (!Active.Idempotent && Active.KeyFromCaller && !Active.ConfirmedNotRun)
     return Outcome::Unknown;
   return Outcome::NotRun;
 }
 
-void EntryMachine::fail(const Now &N, const std::string &Id, Code Why,
+void EntryMachine::fail(const Now &Now, const std::string &Id, Code Why,
                         Actions &Out) {
-  finish(N, Id, Why, outcomeOf(Requests.at(Id)), Out);
+  finish(Now, Id, Why, outcomeOf(Requests.at(Id)), Out);
 }
 
-void EntryMachine::finish(const Now &N, const std::string &Id, Code Why,
+void EntryMachine::finish(const Now &Now, const std::string &Id, Code Why,
                           Outcome Known, Actions &Out) {
   const auto It = Requests.find(Id);
   assert(It != Requests.end());
-  ActiveRequest &A = It->second;
-  if (!A.Open.empty())
-    closeAttempt(A.Open);
-  if (!A.ProbeRound.empty())
-    Rounds.erase(A.ProbeRound);
+  ActiveRequest &Active = It->second;
+  if (!Active.OpenAttempt.empty())
+    closeAttempt(Active.OpenAttempt);
+  if (!Active.ProbeRoundId.empty())
+    ProbeRounds.erase(Active.ProbeRoundId);
   if (Why != Code::None && Why != Code::Cancelled)
     Out.emplace_back(
-        DeliverError{Id, Why, Known, RefusalRetryAfter, A.HeadDelivered});
+        DeliverError{Id, Why, Known, RefusalRetryAfter, Active.HeadDelivered});
   RequestRecord Record;
-  Record.Rank = A.Rank.Name;
-  Record.Application = A.Ask.Application;
+  Record.Rank = Active.Rank.Name;
+  Record.Application = Active.Request.Application;
   Record.Why = Why;
   Record.Known = Known;
-  Record.Total = N.Steady - A.Arrived;
-  Record.FirstByte =
-      A.FirstByte == Time{} ? Record.Total : A.FirstByte - A.Arrived;
-  Record.WithinTarget = Why == Code::None && N.Steady <= A.Target;
-  Record.Attempts = A.Attempts;
+  Record.Total = Now.Steady - Active.Arrived;
+  Record.FirstByte = Active.FirstByte == Time{}
+                         ? Record.Total
+                         : Active.FirstByte - Active.Arrived;
+  Record.WithinTarget = Why == Code::None && Now.Steady <= Active.Target;
+  Record.Attempts = Active.AttemptCount;
   Out.emplace_back(std::move(Record));
   Out.emplace_back(LogDecision{
       Why == Code::None ? LineClass::Routine : LineClass::Kept,
-      "end request=" + Id + " rank=" + A.Rank.Name +
+      "end request=" + Id + " rank=" + Active.Rank.Name +
           " code=" + std::string(codeName(Why)) +
           " outcome=" + std::string(outcomeName(Known)) +
-          " attempts=" + std::to_string(A.Attempts) +
-          " took_us=" + std::to_string((N.Steady - A.Arrived).count())});
+          " attempts=" + std::to_string(Active.AttemptCount) +
+          " took_us=" + std::to_string((Now.Steady - Active.Arrived).count())});
   Requests.erase(It);
 }
 
-void EntryMachine::onMembership(const std::set<std::string> &Leaving,
+void EntryMachine::onMembership(const std::set<std::string> &Draining,
                                 const std::set<std::string> &Gone) {
-  ListedLeaving = Leaving;
+  ListedDraining = Draining;
   ListedGone = Gone;
   for (auto &[Name, View] : Views)
-    View.setListed(Leaving.count(Name) > 0, Gone.count(Name) > 0);
+    View.setListed(Draining.count(Name) > 0, Gone.count(Name) > 0);
 }
 
-void EntryMachine::onTimer(const Now &N, Actions &Out) {
-  std::vector<std::string> Late;
-  std::vector<std::string> Again;
-  for (const auto &[Id, A] : Requests) {
-    if (A.Deadline <= N.Steady)
-      Late.push_back(Id);
-    else if (A.RetryAt != Time{} && A.RetryAt <= N.Steady)
-      Again.push_back(Id);
+void EntryMachine::onTimer(const Now &Now, Actions &Out) {
+  std::vector<std::string> Expired;
+  std::vector<std::string> RetryDue;
+  for (const auto &[Id, Active] : Requests) {
+    if (Active.Deadline <= Now.Steady)
+      Expired.push_back(Id);
+    else if (Active.RetryAt != Time{} && Active.RetryAt <= Now.Steady)
+      RetryDue.push_back(Id);
   }
-  std::vector<std::string> Overdue;
-  for (const auto &[Id, Round] : Rounds)
-    if (Round.Until <= N.Steady)
-      Overdue.push_back(Id);
-  for (const std::string &Id : Late) {
-    ActiveRequest &A = Requests.at(Id);
-    const Outcome Known = outcomeOf(A);
-    if (A.Idempotent)
-      abandonAttempt(A, Out);
-    finish(N, Id, Code::DeadlineExceeded, Known, Out);
+  std::vector<std::string> ExpiredRounds;
+  for (const auto &[Id, Round] : ProbeRounds)
+    if (Round.Deadline <= Now.Steady)
+      ExpiredRounds.push_back(Id);
+  for (const std::string &Id : Expired) {
+    ActiveRequest &Active = Requests.at(Id);
+    const Outcome Known = outcomeOf(Active);
+    if (Active.Idempotent)
+      abandonAttempt(Active, Out);
+    finish(Now, Id, Code::DeadlineExceeded, Known, Out);
   }
-  for (const std::string &Id : Overdue)
-    finishProbes(N, Id, Out);
-  for (const std::string &Id : Again)
+  for (const std::string &Id : ExpiredRounds)
+    finishProbes(Now, Id, Out);
+  for (const std::string &Id : RetryDue)
     if (Requests.count(Id))
-      route(N, Id, Out);
-  if (Opts.recoverSilence())
-    judgeSides(N, Out);
+      route(Now, Id, Out);
+  if (Opts.handleSilentSides())
+    checkSilentSides(Now, Out);
 }
 
 } // namespace goldcrestlink::entry
--- a/entry/entry_machine.h
+++ b/entry/entry_machine.h
@@ -1,12 +1,13 @@
-// The decisions of an entry: which side runs a request, what to do when an
-// answer is late or lost, and what the caller is told. A state machine without
-// I/O, threads or clocks; several may serve side by side, one per thread.
+// State machine of an entry: chooses the side that runs a request, handles late
+// and lost replies, and decides what the caller receives. It does no I/O,
+// starts no threads and reads no clock; a process may run several, one per
+// thread.
 //
-//   EntryMachine M(EntryMachine::Options(), Declarations, "dc-1", Seed);
+//   EntryMachine Machine(EntryMachine::Options(), Declarations, "dc-1", Seed);
 //   Actions Out;
-//   M.onRequest(Now, std::move(Request), Out);
-//   M.onEnvelope(Now, "engine-1", Envelope, Out);
-//   M.onTimer(Now, Out);
+//   Machine.onRequest(Now, std::move(Request), Out);
+//   Machine.onEnvelope(Now, "engine-1", Envelope, Out);
+//   Machine.onTimer(Now, Out);
 #ifndef GOLDCRESTLINK_ENTRY_ENTRY_MACHINE_H
 #define GOLDCRESTLINK_ENTRY_ENTRY_MACHINE_H
 
@@ -35,27 +36,27 @@
     size_t maxRequests() const { return MaxRequests; }
     uint32_t maxAttempts() const { return MaxAttempts; }
     Duration probeTimeout() const { return ProbeTimeout; }
-    Duration keyRetryPause() const { return KeyRetryPause; }
-    Duration deadlineGrace() const { return DeadlineGrace; }
+    Duration retryBackoff() const { return RetryBackoff; }
+    Duration deadlineMargin() const { return DeadlineMargin; }
     const SideView::Options &sideView() const { return View; }
     bool countOpenAttempts() const { return CountOpenAttempts; }
-    bool recoverSilence() const { return RecoverSilence; }
+    bool handleSilentSides() const { return HandleSilentSides; }
     const ChoiceStrategy &strategy() const { return *Strategy; }
-    Options &setMaxRequests(size_t N) {
-      MaxRequests = N;
+    Options &setMaxRequests(size_t Limit) {
+      MaxRequests = Limit;
       return *this;
     }
-    Options &setMaxAttempts(uint32_t N) {
-      MaxAttempts = N;
+    Options &setMaxAttempts(uint32_t Limit) {
+      MaxAttempts = Limit;
       return *this;
     }
-    Options &setSideView(SideView::Options O) {
-      View = O;
+    Options &setSideView(SideView::Options NewView) {
+      View = NewView;
       return *this;
     }
-    /// Precondition: \p S outlives the machine.
-    Options &setStrategy(const ChoiceStrategy &S) {
-      Strategy = &S;
+    /// Precondition: \p NewStrategy outlives the state machine.
+    Options &setStrategy(const ChoiceStrategy &NewStrategy) {
+      Strategy = &NewStrategy;
       return *this;
     }
 
@@ -64,158 +65,177 @@
     size_t MaxRequests = 16384;
     uint32_t MaxAttempts = 4;
     Duration ProbeTimeout = std::chrono::milliseconds(40);
-    Duration KeyRetryPause = std::chrono::milliseconds(150);
-    // Sides end an attempt this much before the caller's deadline, so that
-    // their word on whether it ran arrives in time.
-    Duration DeadlineGrace = std::chrono::milliseconds(100);
+    // Backoff before a request is retried after a failure that is expected to
+    // end soon.
+    Duration RetryBackoff = std::chrono::milliseconds(150);
+    // Sides end an attempt this long before the caller's deadline, so that
+    // their report on whether it ran reaches the entry in time.
+    Duration DeadlineMargin = std::chrono::milliseconds(100);
     SideView::Options View;
     const ChoiceStrategy *Strategy = findChoiceStrategy("adaptive");
-    // Always on outside tests.
+    // Only EntryMutation switches these off. CountOpenAttempts: the outcome of
+    // a request is unknown if an attempt was abandoned or is still open.
     bool CountOpenAttempts = true;
-    bool RecoverSilence = true;
+    bool HandleSilentSides = true;
   };
 
-  /// \p Cell is the cell whose upstreams this entry uses. \p Seed makes ids
-  /// unique between incarnations and feeds random choices.
-  EntryMachine(Options O, std::shared_ptr<const Declarations> Config,
+  /// \p Cell is the cell whose upstreams this entry prefers. \p Seed makes ids
+  /// unique across incarnations and seeds the random choices.
+  EntryMachine(Options Opts, std::shared_ptr<const Declarations> Config,
                std::string Cell, uint64_t Seed);
 
   // Commands.
 
-  /// New declarations are in force.
+  /// Replaces the declarations. Precondition: \p Config has no lower generation
+  /// than the current one.
   void onConfig(std::shared_ptr<const Declarations> Config);
-  /// A caller's request. Every request gets exactly one end.
-  void onRequest(const Now &N, CallerRequest R, Actions &Out);
-  /// The caller went away: its work is cancelled where that is safe.
-  void onCallerGone(const Now &N, const std::string &RequestId, Actions &Out);
-  /// A message from the side beside \p Upstream.
-  void onEnvelope(const Now &N, const std::string &Upstream,
+  /// Accepts or refuses a caller's request. Every request ends exactly once.
+  /// Precondition: no request in progress has the same id.
+  void onRequest(const Now &Now, CallerRequest Request, Actions &Out);
+  /// The caller disconnected. Ends the request; its open attempt is cancelled
+  /// if it is idempotent.
+  void onCallerGone(const Now &Now, const std::string &RequestId, Actions &Out);
+  /// Handles a message from the side beside \p Upstream.
+  void onEnvelope(const Now &Now, const std::string &Upstream,
                   const wire::Envelope &Message, Actions &Out);
-  /// An attempt could not be handed to a connection: it has not left.
-  void onSendFailed(const Now &N, const std::string &AttemptId, Actions &Out);
-  /// The platform's list of instances, as far as it concerns upstreams.
-  void onMembership(const std::set<std::string> &Leaving,
+  /// The attempt could not be passed to a connection and was not sent.
+  void onSendFailed(const Now &Now, const std::string &AttemptId, Actions &Out);
+  /// Replaces the sets of upstreams that the platform lists as draining or as
+  /// removed.
+  void onMembership(const std::set<std::string> &Draining,
                     const std::set<std::string> &Gone);
-  /// To be called every few milliseconds.
-  void onTimer(const Now &N, Actions &Out);
+  /// Ends requests at their deadline, performs due retries and checks for
+  /// silent sides. To be called every few milliseconds.
+  void onTimer(const Now &Now, Actions &Out);
 
   // Queries.
 
   size_t requestsInProgress() const { return Requests.size(); }
   uint64_t generation() const { return Config->generation(); }
-  /// Why a request for this adapter would go where, one line per candidate.
-  std::string explain(const Now &N, std::string_view Adapter,
+  /// Describes the candidates for a request for this adapter version, one per
+  /// line.
+  std::string explain(const Now &Now, std::string_view Adapter,
                       std::string_view Version) const;
-  /// Upstreams that new work may go to now.
-  std::vector<std::string> availableUpstreams(const Now &N) const;
+  /// Upstreams of the entry's cell that new requests may be sent to.
+  std::vector<std::string> availableUpstreams(const Now &Now) const;
 
 private:
-  // One try at one side.
+  // One attempt to run a request, at one side.
   struct Attempt {
     std::string RequestId;
     std::string Upstream;
     uint32_t NextSequence = 0;
-    // The side's incarnation when the attempt left; 0 if not known.
+    // The side's incarnation when the attempt was sent; 0 if not known.
     uint64_t Incarnation = 0;
-    bool Heard = false;
+    bool SideResponded = false;
   };
 
   struct ActiveRequest {
-    CallerRequest Ask;
+    CallerRequest Request;
     RankDecl Rank;
     UpstreamKind Kind = UpstreamKind::Engine;
+    // Base model, or name of the plain service.
     std::string Group;
     bool Idempotent = true;
     bool KeyFromCaller = false;
     uint64_t Fingerprint = 0;
     uint64_t SlotHash = 0;
+    // Milliseconds since the Unix epoch.
     int64_t ReceivedMs = 0;
     Time Arrived;
     Time Target;
     Time Deadline;
     Time FirstByte{};
-    // The open attempt; empty while the request waits for probes or a pause.
-    std::string Open;
-    uint32_t Attempts = 0;
-    std::set<std::string> Tried;
+    // Id of the open attempt; empty while the request waits for probe replies
+    // or for the end of a backoff.
+    std::string OpenAttempt;
+    uint32_t AttemptCount = 0;
+    // Upstreams that are not chosen again until this set is cleared.
+    std::set<std::string> TriedUpstreams;
+    // Suspected of crashing its upstream; sent only where it runs alone.
     bool Isolated = false;
-    // The stream's head as it came; passed on with the first data, so that an
-    // attempt which breaks before that can still be tried elsewhere.
+    // Head of the streamed answer. It is delivered with the first data, so that
+    // the request can still be retried if the stream breaks before that.
     unsigned HeadStatus = 0;
-    std::string HeadType;
+    std::string HeadContentType;
     bool HeadDelivered = false;
-    // Some attempt may have run, or did.
-    bool MaybeRan = false;
+    // Some attempt may have run (MayHaveRun) or did run (Ran).
+    bool MayHaveRun = false;
     bool Ran = false;
-    // The owner's word that the key did not run.
-    bool Attested = false;
-    Code LastProblem = Code::NoUpstream;
+    // The last refusal stated that the key did not run.
+    bool ConfirmedNotRun = false;
+    // Code of the last refusal or failure.
+    Code LastFailure = Code::NoUpstream;
     std::string OwnerHint;
-    // When to choose a side again; none if zero.
+    // When to choose a side again; zero if no retry is scheduled.
     Time RetryAt{};
-    std::string ProbeRound;
+    // Empty if no probes are outstanding.
+    std::string ProbeRoundId;
   };
 
-  // Probes of one decision.
+  // The probes sent to choose the side of one attempt.
   struct ProbeRound {
     std::string RequestId;
     std::vector<std::string> Upstreams;
     std::vector<Candidate> Candidates;
-    size_t Answered = 0;
-    Time Until;
+    size_t ReplyCount = 0;
+    Time Deadline;
   };
 
-  // Intake.
-  Code classify(ActiveRequest &A) const;
-  Code classifyCompletion(ActiveRequest &A, std::string &RankName) const;
-  Code classifyRoute(ActiveRequest &A, std::string &RankName) const;
+  // Acceptance. These look the names of the request up in the declarations and
+  // return the code of the refusal, or None.
+  Code classify(ActiveRequest &Active) const;
+  Code classifyCompletion(ActiveRequest &Active, std::string &RankName) const;
+  Code classifyRoute(ActiveRequest &Active, std::string &RankName) const;
 
   // Choice of a side.
-  void route(const Now &N, const std::string &Id, Actions &Out);
-  void routeCompletion(const Now &N, ActiveRequest &A, Actions &Out);
-  void routeIsolated(const Now &N, ActiveRequest &A, Actions &Out);
-  void routeService(const Now &N, ActiveRequest &A, Actions &Out);
-  void routeKeyed(const Now &N, ActiveRequest &A, Actions &Out);
-  std::vector<const UpstreamDecl *> candidates(const Now &N,
-                                               const ActiveRequest &A) const;
-  std::vector<const UpstreamDecl *> usable(const Now &N, const ActiveRequest &A,
-                                           std::string_view InCell) const;
-  Candidate describe(const UpstreamDecl &U, uint64_t SlotHash) const;
-  void startProbes(const Now &N, ActiveRequest &A,
-                   const std::vector<const UpstreamDecl *> &Among,
+  void route(const Now &Now, const std::string &Id, Actions &Out);
+  void routeCompletion(const Now &Now, ActiveRequest &Active, Actions &Out);
+  void routeIsolated(const Now &Now, ActiveRequest &Active, Actions &Out);
+  void routeService(const Now &Now, ActiveRequest &Active, Actions &Out);
+  void routeKeyed(const Now &Now, ActiveRequest &Active, Actions &Out);
+  std::vector<const UpstreamDecl *>
+  candidateUpstreams(const Now &Now, const ActiveRequest &Active) const;
+  std::vector<const UpstreamDecl *>
+  usableUpstreams(const Now &Now, const ActiveRequest &Active,
+                  std::string_view InCell) const;
+  Candidate makeCandidate(const UpstreamDecl &U, uint64_t SlotHash) const;
+  void startProbes(const Now &Now, ActiveRequest &Active,
+                   const std::vector<const UpstreamDecl *> &Eligible,
                    Actions &Out);
-  void finishProbes(const Now &N, const std::string &RoundId, Actions &Out);
-  void send(const Now &N, ActiveRequest &A, const std::string &Upstream,
+  void finishProbes(const Now &Now, const std::string &RoundId, Actions &Out);
+  void send(const Now &Now, ActiveRequest &Active, const std::string &Upstream,
             std::string_view Reason, Actions &Out);
-  void pause(const Now &N, ActiveRequest &A);
-
-  // Answers.
-  void onEvent(const Now &N, const std::string &Upstream,
-               const wire::AttemptEvent &E, Actions &Out);
-  void onProbeReply(const Now &N, const std::string &Upstream,
-                    const wire::ProbeReply &R, Actions &Out);
-  void onRefused(const Now &N, ActiveRequest &A, const Attempt &T,
-                 const wire::AttemptEvent &E, Actions &Out);
-  void onFailed(const Now &N, ActiveRequest &A, const wire::AttemptEvent &E,
-                Actions &Out);
-  void onDone(const Now &N, ActiveRequest &A, const wire::AttemptEvent &E,
-              Actions &Out);
-  void retryOrFail(const Now &N, ActiveRequest &A, Actions &Out);
-  static bool isLost(const Attempt &T, const wire::AttemptEvent &E);
-  void deliverHead(ActiveRequest &A, Actions &Out);
+  void backOff(const Now &Now, ActiveRequest &Active);
+
+  // Replies.
+  void onEvent(const Now &Now, const std::string &Upstream,
+               const wire::AttemptEvent &Event, Actions &Out);
+  void onProbeReply(const Now &Now, const std::string &Upstream,
+                    const wire::ProbeReply &Reply, Actions &Out);
+  void onRefused(const Now &Now, ActiveRequest &Active, const Attempt &Refused,
+                 const wire::AttemptEvent &Event, Actions &Out);
+  void onFailed(const Now &Now, ActiveRequest &Active,
+                const wire::AttemptEvent &Event, Actions &Out);
+  void onDone(const Now &Now, ActiveRequest &Active,
+              const wire::AttemptEvent &Event, Actions &Out);
+  void retryOrFail(const Now &Now, ActiveRequest &Active, Actions &Out);
+  static bool isLost(const Attempt &Sent, const wire::AttemptEvent &Event);
+  void deliverHead(ActiveRequest &Active, Actions &Out);
   void closeAttempt(const std::string &AttemptId);
-  void abandonAttempt(ActiveRequest &A, Actions &Out);
+  void abandonAttempt(ActiveRequest &Active, Actions &Out);
 
-  // Silence.
-  void judgeSides(const Now &N, Actions &Out);
-  void askAgain(const Now &N, const std::string &Upstream, Actions &Out);
-  void moveAway(const Now &N, const std::string &Upstream, Actions &Out);
+  // Silent sides.
+  void checkSilentSides(const Now &Now, Actions &Out);
+  void probeAndResume(const Now &Now, const std::string &Upstream,
+                      Actions &Out);
+  void failOver(const Now &Now, const std::string &Upstream, Actions &Out);
 
-  // Ends.
-  void fail(const Now &N, const std::string &Id, Code Why, Actions &Out);
-  void finish(const Now &N, const std::string &Id, Code Why, Outcome Known,
+  // Completion.
+  void fail(const Now &Now, const std::string &Id, Code Why, Actions &Out);
+  void finish(const Now &Now, const std::string &Id, Code Why, Outcome Known,
               Actions &Out);
-  Outcome outcomeOf(const ActiveRequest &A) const;
+  Outcome outcomeOf(const ActiveRequest &Active) const;
   std::string nextId();
   wire::Envelope envelope() const;
 
@@ -228,24 +248,24 @@
   RetryBudget Budget;
   std::unordered_map<std::string, ActiveRequest> Requests;
   std::unordered_map<std::string, Attempt> Attempts;
-  // Open attempts by side.
-  std::unordered_map<std::string, std::set<std::string>> OpenAt;
-  std::unordered_map<std::string, ProbeRound> Rounds;
+  // Ids of open attempts, by upstream.
+  std::unordered_map<std::string, std::set<std::string>> OpenAttemptsBySide;
+  std::unordered_map<std::string, ProbeRound> ProbeRounds;
   std::unordered_map<std::string, SideView> Views;
   // Last known owner of each shard of each service.
   std::unordered_map<std::string, std::string> ShardOwner;
-  std::set<std::string> ListedLeaving;
+  std::set<std::string> ListedDraining;
   std::set<std::string> ListedGone;
 };
 
-/// Switches off one protection, so that a test can show that it is needed.
-/// For tests only.
+/// Switches off one safeguard, so that a test can show that the safeguard is
+/// needed. For tests only.
 struct EntryMutation {
   static void forgetOpenAttempts(EntryMachine::Options &O) {
     O.CountOpenAttempts = false;
   }
   static void ignoreSilence(EntryMachine::Options &O) {
-    O.RecoverSilence = false;
+    O.HandleSilentSides = false;
   }
 };
 
--- a/entry/entry_routing.cc
+++ b/entry/entry_routing.cc
@@ -1,8 +1,10 @@
-// Choosing a side. Completions consider the first few sides in the adapter's
-// rendezvous order: one known to hold the adapter and not full is taken at
-// once, otherwise the few are probed and the cheapest is taken. Calls that may
-// not be repeated go to the side that owns their key's shard. Work per choice
-// is linear in the cell's upstreams.
+// Choice of a side. A completion considers the first few sides in the adapter's
+// rendezvous order: a side that is known to hold the adapter and has free
+// capacity is chosen without probing; otherwise these sides are probed and the
+// one with the lowest expected cost is chosen. Requests that are not idempotent
+// go to the side that owns the shard of their key. The cost of a choice is that
+// of sorting the group's upstreams in the considered cells into rendezvous
+// order.
 #include <algorithm>
 #include <cassert>
 
@@ -14,168 +16,180 @@
 namespace goldcrestlink::entry {
 
 namespace {
-// A call that looks for its key's owner may be sent this often.
+// Limit on the attempts of one keyed request, including those that only find
+// out which side owns the key.
 constexpr uint32_t MaxKeyedAttempts = 64;
 constexpr size_t MaxTrackedShards = 65536;
 } // namespace
 
-void EntryMachine::route(const Now &N, const std::string &Id, Actions &Out) {
-  ActiveRequest &A = Requests.at(Id);
-  assert(A.Open.empty());
-  A.RetryAt = Time{};
-  if (A.Kind == UpstreamKind::Service)
-    return A.Idempotent ? routeService(N, A, Out) : routeKeyed(N, A, Out);
-  return A.Isolated ? routeIsolated(N, A, Out) : routeCompletion(N, A, Out);
+void EntryMachine::route(const Now &Now, const std::string &Id, Actions &Out) {
+  ActiveRequest &Active = Requests.at(Id);
+  assert(Active.OpenAttempt.empty());
+  Active.RetryAt = Time{};
+  if (Active.Kind == UpstreamKind::Service)
+    return Active.Idempotent ? routeService(Now, Active, Out)
+                             : routeKeyed(Now, Active, Out);
+  return Active.Isolated ? routeIsolated(Now, Active, Out)
+                         : routeCompletion(Now, Active, Out);
 }
 
-void EntryMachine::pause(const Now &N, ActiveRequest &A) {
-  A.Tried.clear();
-  A.RetryAt = N.Steady + Opts.keyRetryPause();
+void EntryMachine::backOff(const Now &Now, ActiveRequest &Active) {
+  Active.TriedUpstreams.clear();
+  Active.RetryAt = Now.Steady + Opts.retryBackoff();
 }
 
-Candidate EntryMachine::describe(const UpstreamDecl &U,
-                                 uint64_t SlotHash) const {
+Candidate EntryMachine::makeCandidate(const UpstreamDecl &U,
+                                      uint64_t SlotHash) const {
   Candidate C;
   C.Width = static_cast<size_t>(U.MaxSequences);
-  const auto Open = OpenAt.find(U.Name);
-  const size_t Mine = Open == OpenAt.end() ? 0 : Open->second.size();
+  const auto Open = OpenAttemptsBySide.find(U.Name);
+  const size_t OwnLoad =
+      Open == OpenAttemptsBySide.end() ? 0 : Open->second.size();
   const auto View = Views.find(U.Name);
   if (View != Views.end()) {
     C.Resident = View->second.resident(SlotHash);
     C.Load = View->second.load();
   }
-  C.Load = std::max(C.Load, Mine);
+  C.Load = std::max(C.Load, OwnLoad);
   return C;
 }
 
 std::vector<const UpstreamDecl *>
-EntryMachine::usable(const Now &N, const ActiveRequest &A,
-                     std::string_view InCell) const {
-  const auto Group = Config->group(A.Kind, A.Group, InCell);
-  const uint64_t Key = A.Isolated ? A.Fingerprint : A.SlotHash;
+EntryMachine::usableUpstreams(const Now &Now, const ActiveRequest &Active,
+                              std::string_view InCell) const {
+  const auto Group = Config->group(Active.Kind, Active.Group, InCell);
+  const uint64_t Key = Active.Isolated ? Active.Fingerprint : Active.SlotHash;
   std::vector<const UpstreamDecl *> Out;
   for (const UpstreamDecl *U : rendezvousOrder(Key, Group, Group.size())) {
     const auto View = Views.find(U->Name);
     const bool Usable =
         View == Views.end()
-            ? !ListedLeaving.count(U->Name) && !ListedGone.count(U->Name)
-            : View->second.available(N.Steady, Opts.sideView());
-    if (Usable && !A.Tried.count(U->Name))
+            ? !ListedDraining.count(U->Name) && !ListedGone.count(U->Name)
+            : View->second.available(Now.Steady, Opts.sideView());
+    if (Usable && !Active.TriedUpstreams.count(U->Name))
       Out.push_back(U);
   }
   return Out;
 }
 
-// The own cell's sides; other cells' only if none of them can be used. Keys
-// have one owner for all cells, so keyed calls look everywhere.
+// Returns the usable upstreams of this entry's cell, or those of all cells if
+// it has none. The owner of a key may be in any cell, so requests that are not
+// idempotent consider all cells.
 std::vector<const UpstreamDecl *>
-EntryMachine::candidates(const Now &N, const ActiveRequest &A) const {
-  if (!A.Idempotent)
-    return usable(N, A, {});
-  auto Own = usable(N, A, Cell);
-  return Own.empty() ? usable(N, A, {}) : Own;
+EntryMachine::candidateUpstreams(const Now &Now,
+                                 const ActiveRequest &Active) const {
+  if (!Active.Idempotent)
+    return usableUpstreams(Now, Active, {});
+  auto Own = usableUpstreams(Now, Active, Cell);
+  return Own.empty() ? usableUpstreams(Now, Active, {}) : Own;
 }
 
-void EntryMachine::routeCompletion(const Now &N, ActiveRequest &A,
+void EntryMachine::routeCompletion(const Now &Now, ActiveRequest &Active,
                                    Actions &Out) {
-  auto Among = candidates(N, A);
-  if (Among.empty())
-    return retryOrFail(N, A, Out);
-  const ChoiceStrategy &S = Opts.strategy();
-  if (S.CandidateCount > 0 && Among.size() > S.CandidateCount)
-    Among.resize(S.CandidateCount);
-  std::vector<Candidate> Described;
-  bool RoomWhereResident = false;
-  for (const UpstreamDecl *U : Among) {
-    Described.push_back(describe(*U, A.SlotHash));
-    const Candidate &C = Described.back();
-    RoomWhereResident |= C.Resident && C.Load < C.Width;
+  auto Eligible = candidateUpstreams(Now, Active);
+  if (Eligible.empty())
+    return retryOrFail(Now, Active, Out);
+  const ChoiceStrategy &Strategy = Opts.strategy();
+  if (Strategy.CandidateCount > 0 && Eligible.size() > Strategy.CandidateCount)
+    Eligible.resize(Strategy.CandidateCount);
+  std::vector<Candidate> Candidates;
+  bool ResidentWithCapacity = false;
+  for (const UpstreamDecl *U : Eligible) {
+    Candidates.push_back(makeCandidate(*U, Active.SlotHash));
+    const Candidate &C = Candidates.back();
+    ResidentWithCapacity |= C.Resident && C.Load < C.Width;
   }
-  if (S.Probes && !RoomWhereResident && Among.size() > 1)
-    return startProbes(N, A, Among, Out);
-  if (S.Probes)
-    for (Candidate &C : Described)
+  if (Strategy.Probes && !ResidentWithCapacity && Eligible.size() > 1)
+    return startProbes(Now, Active, Eligible, Out);
+  // Without probes, a wait of one hour makes the strategy prefer the sides that
+  // hold the adapter and have free capacity.
+  if (Strategy.Probes)
+    for (Candidate &C : Candidates)
       if (!C.Resident || C.Load >= C.Width)
-        C.Wait = std::chrono::seconds(3600); // One with room is there.
-  const size_t Best = S.Choose(Described, Rand);
-  send(N, A, Among[Best]->Name, Described[Best].Resident ? "resident" : S.Name,
-       Out);
+        C.Wait = std::chrono::seconds(3600);
+  const size_t Best = Strategy.Choose(Candidates, Rand);
+  send(Now, Active, Eligible[Best]->Name,
+       Candidates[Best].Resident ? "resident" : Strategy.Name, Out);
 }
 
-// A suspect runs at the one side that its fingerprint names, so that copies of
-// it cannot take down several upstreams at once.
-void EntryMachine::routeIsolated(const Now &N, ActiveRequest &A, Actions &Out) {
-  const auto Among = candidates(N, A);
-  if (Among.empty())
-    return retryOrFail(N, A, Out);
-  send(N, A, Among.front()->Name, "isolated", Out);
+// A suspected request goes to the first side in the rendezvous order of its
+// fingerprint, so that copies of it cannot crash several upstreams at once.
+void EntryMachine::routeIsolated(const Now &Now, ActiveRequest &Active,
+                                 Actions &Out) {
+  const auto Eligible = candidateUpstreams(Now, Active);
+  if (Eligible.empty())
+    return retryOrFail(Now, Active, Out);
+  send(Now, Active, Eligible.front()->Name, "isolated", Out);
 }
 
-void EntryMachine::routeService(const Now &N, ActiveRequest &A, Actions &Out) {
-  const auto Among = candidates(N, A);
-  if (Among.empty())
-    return retryOrFail(N, A, Out);
-  std::vector<Candidate> Described;
-  for (const UpstreamDecl *U : Among)
-    Described.push_back(describe(*U, 0));
+void EntryMachine::routeService(const Now &Now, ActiveRequest &Active,
+                                Actions &Out) {
+  const auto Eligible = candidateUpstreams(Now, Active);
+  if (Eligible.empty())
+    return retryOrFail(Now, Active, Out);
+  std::vector<Candidate> Candidates;
+  for (const UpstreamDecl *U : Eligible)
+    Candidates.push_back(makeCandidate(*U, 0));
   const size_t Best =
-      findChoiceStrategy("least_loaded")->Choose(Described, Rand);
-  send(N, A, Among[Best]->Name, "least_loaded", Out);
+      findChoiceStrategy("least_loaded")->Choose(Candidates, Rand);
+  send(Now, Active, Eligible[Best]->Name, "least_loaded", Out);
 }
 
-void EntryMachine::routeKeyed(const Now &N, ActiveRequest &A, Actions &Out) {
-  if (A.Attempts >= MaxKeyedAttempts)
-    return fail(N, A.Ask.Id, A.LastProblem, Out);
+void EntryMachine::routeKeyed(const Now &Now, ActiveRequest &Active,
+                              Actions &Out) {
+  if (Active.AttemptCount >= MaxKeyedAttempts)
+    return fail(Now, Active.Request.Id, Active.LastFailure, Out);
   const auto Shards = static_cast<uint32_t>(Config->policy().ShardsPerService);
   const std::string ShardName =
-      A.Group + "/" + std::to_string(keyShard(A.Ask.Key, Shards));
+      Active.Group + "/" + std::to_string(keyShard(Active.Request.Key, Shards));
   if (ShardOwner.size() >= MaxTrackedShards)
     ShardOwner.clear();
-  if (!A.OwnerHint.empty())
-    ShardOwner[ShardName] = A.OwnerHint;
-  A.OwnerHint.clear();
-  const auto Known = ShardOwner.find(ShardName);
-  const auto Among = candidates(N, A);
+  if (!Active.OwnerHint.empty())
+    ShardOwner[ShardName] = Active.OwnerHint;
+  Active.OwnerHint.clear();
+  const auto KnownOwner = ShardOwner.find(ShardName);
+  const auto Eligible = candidateUpstreams(Now, Active);
   const auto IsOwner = [&](const UpstreamDecl *U) {
-    return Known != ShardOwner.end() && U->Name == Known->second;
+    return KnownOwner != ShardOwner.end() && U->Name == KnownOwner->second;
   };
-  const auto Owner = std::find_if(Among.begin(), Among.end(), IsOwner);
-  if (Owner != Among.end())
-    return send(N, A, (*Owner)->Name, "owner", Out);
-  if (Among.empty())
-    return pause(N, A);
-  // Any side knows the owner.
-  send(N, A, Among[Rand.below(Among.size())]->Name, "ask_owner", Out);
+  const auto Owner = std::find_if(Eligible.begin(), Eligible.end(), IsOwner);
+  if (Owner != Eligible.end())
+    return send(Now, Active, (*Owner)->Name, "owner", Out);
+  if (Eligible.empty())
+    return backOff(Now, Active);
+  // Every side knows which side owns the shard and names it in its refusal.
+  send(Now, Active, Eligible[Rand.below(Eligible.size())]->Name, "ask_owner",
+       Out);
 }
 
-void EntryMachine::startProbes(const Now &N, ActiveRequest &A,
-                               const std::vector<const UpstreamDecl *> &Among,
-                               Actions &Out) {
+void EntryMachine::startProbes(
+    const Now &Now, ActiveRequest &Active,
+    const std::vector<const UpstreamDecl *> &Eligible, Actions &Out) {
   const std::string RoundId = nextId();
   ProbeRound Round;
-  Round.RequestId = A.Ask.Id;
-  Round.Until = N.Steady + Opts.probeTimeout();
-  for (const UpstreamDecl *U : Among) {
+  Round.RequestId = Active.Request.Id;
+  Round.Deadline = Now.Steady + Opts.probeTimeout();
+  for (const UpstreamDecl *U : Eligible) {
     Round.Upstreams.push_back(U->Name);
-    Round.Candidates.push_back(describe(*U, A.SlotHash));
+    Round.Candidates.push_back(makeCandidate(*U, Active.SlotHash));
     SendSide Send{U->Name, envelope()};
     wire::Probe &P = *Send.Message.mutable_probe();
     P.set_probe_id(RoundId);
-    P.set_adapter(A.Ask.Adapter);
-    P.set_version(A.Ask.Version);
-    P.set_rank(A.Rank.Name);
-    Views[U->Name].asked(N.Steady);
+    P.set_adapter(Active.Request.Adapter);
+    P.set_version(Active.Request.Version);
+    P.set_rank(Active.Rank.Name);
+    Views[U->Name].asked(Now.Steady);
     Out.emplace_back(std::move(Send));
   }
-  A.ProbeRound = RoundId;
-  Rounds.emplace(RoundId, std::move(Round));
+  Active.ProbeRoundId = RoundId;
+  ProbeRounds.emplace(RoundId, std::move(Round));
 }
 
-void EntryMachine::onProbeReply(const Now &N, const std::string &Upstream,
-                                const wire::ProbeReply &R, Actions &Out) {
-  Views[Upstream].learn(N.Steady, R.state());
-  const auto It = Rounds.find(R.probe_id());
-  if (It == Rounds.end())
+void EntryMachine::onProbeReply(const Now &Now, const std::string &Upstream,
+                                const wire::ProbeReply &Reply, Actions &Out) {
+  Views[Upstream].learn(Now.Steady, Reply.state());
+  const auto It = ProbeRounds.find(Reply.probe_id());
+  if (It == ProbeRounds.end())
     return;
   ProbeRound &Round = It->second;
   for (size_t I = 0; I < Round.Upstreams.size(); ++I) {
@@ -183,104 +197,106 @@
     if (Round.Upstreams[I] != Upstream || C.Probed)
       continue;
     C.Probed = true;
-    C.Resident = R.resident();
-    C.Loading = R.loading();
-    C.Load =
-        std::max<size_t>(C.Load, R.state().running() + R.state().waiting());
-    C.Wait = Duration(static_cast<int64_t>(R.wait_us()));
-    C.VictimValue = R.victim_value();
-    ++Round.Answered;
+    C.Resident = Reply.resident();
+    C.Loading = Reply.loading();
+    C.Load = std::max<size_t>(C.Load, Reply.state().running() +
+                                          Reply.state().waiting());
+    C.Wait = Duration(static_cast<int64_t>(Reply.wait_us()));
+    C.VictimValue = Reply.victim_value();
+    ++Round.ReplyCount;
   }
-  if (Round.Answered == Round.Upstreams.size())
-    finishProbes(N, R.probe_id(), Out);
+  if (Round.ReplyCount == Round.Upstreams.size())
+    finishProbes(Now, Reply.probe_id(), Out);
 }
 
-void EntryMachine::finishProbes(const Now &N, const std::string &RoundId,
+void EntryMachine::finishProbes(const Now &Now, const std::string &RoundId,
                                 Actions &Out) {
-  const auto It = Rounds.find(RoundId);
-  if (It == Rounds.end())
+  const auto It = ProbeRounds.find(RoundId);
+  if (It == ProbeRounds.end())
     return;
   const ProbeRound Round = std::move(It->second);
-  Rounds.erase(It);
-  ActiveRequest &A = Requests.at(Round.RequestId);
-  A.ProbeRound.clear();
+  ProbeRounds.erase(It);
+  ActiveRequest &Active = Requests.at(Round.RequestId);
+  Active.ProbeRoundId.clear();
   std::vector<Candidate> Answered;
   std::vector<size_t> Positions;
   for (size_t I = 0; I < Round.Candidates.size(); ++I) {
     const auto View = Views.find(Round.Upstreams[I]);
-    const bool Usable = View->second.available(N.Steady, Opts.sideView());
+    const bool Usable = View->second.available(Now.Steady, Opts.sideView());
     if (Round.Candidates[I].Probed && Usable) {
       Answered.push_back(Round.Candidates[I]);
       Positions.push_back(I);
     } else {
-      A.Tried.insert(Round.Upstreams[I]);
+      Active.TriedUpstreams.insert(Round.Upstreams[I]);
     }
   }
   if (Answered.empty())
-    return retryOrFail(N, A, Out);
+    return retryOrFail(Now, Active, Out);
   const size_t Best = Opts.strategy().Choose(Answered, Rand);
   const Candidate &C = Answered[Best];
-  send(N, A, Round.Upstreams[Positions[Best]],
+  send(Now, Active, Round.Upstreams[Positions[Best]],
        C.Resident  ? "probed_resident"
        : C.Loading ? "probed_loading"
                    : "probed",
        Out);
 }
 
-void EntryMachine::send(const Now &N, ActiveRequest &A,
+void EntryMachine::send(const Now &Now, ActiveRequest &Active,
                         const std::string &Upstream, std::string_view Reason,
                         Actions &Out) {
   const std::string Id = nextId();
   SideView &View = Views[Upstream];
-  View.setListed(ListedLeaving.count(Upstream) > 0,
+  View.setListed(ListedDraining.count(Upstream) > 0,
                  ListedGone.count(Upstream) > 0);
-  View.asked(N.Steady);
-  A.Open = Id;
-  A.HeadStatus = 0;
-  ++A.Attempts;
-  Attempts[Id] = {A.Ask.Id, Upstream, 0, View.incarnation(), false};
-  OpenAt[Upstream].insert(Id);
+  View.asked(Now.Steady);
+  Active.OpenAttempt = Id;
+  Active.HeadStatus = 0;
+  ++Active.AttemptCount;
+  Attempts[Id] = {Active.Request.Id, Upstream, 0, View.incarnation(), false};
+  OpenAttemptsBySide[Upstream].insert(Id);
 
   SendSide Send{Upstream, envelope()};
-  wire::Attempt &T = *Send.Message.mutable_attempt();
-  const auto Left = [&](Time Until) {
+  wire::Attempt &WireAttempt = *Send.Message.mutable_attempt();
+  const auto MicrosUntil = [&](Time Limit) {
     return static_cast<uint64_t>(
-        std::max<int64_t>((Until - N.Steady).count(), 1));
+        std::max<int64_t>((Limit - Now.Steady).count(), 1));
   };
-  T.set_attempt_id(Id);
-  T.set_request_id(A.Ask.Id);
-  T.set_upstream(Upstream);
-  T.set_adapter(A.Ask.Adapter);
-  T.set_version(A.Ask.Version);
-  T.set_rank(A.Rank.Name);
-  T.set_application(A.Ask.Application);
-  T.set_time_left_us(Left(A.Deadline - Opts.deadlineGrace()));
-  T.set_target_left_us(Left(A.Target));
-  T.set_idempotent(A.Idempotent);
-  if (!A.Idempotent) {
-    T.set_key(A.Ask.Key);
-    T.set_key_issued_ms(A.Ask.KeyIssuedMs);
-    T.set_received_ms(A.ReceivedMs);
+  WireAttempt.set_attempt_id(Id);
+  WireAttempt.set_request_id(Active.Request.Id);
+  WireAttempt.set_upstream(Upstream);
+  WireAttempt.set_adapter(Active.Request.Adapter);
+  WireAttempt.set_version(Active.Request.Version);
+  WireAttempt.set_rank(Active.Rank.Name);
+  WireAttempt.set_application(Active.Request.Application);
+  WireAttempt.set_time_left_us(
+      MicrosUntil(Active.Deadline - Opts.deadlineMargin()));
+  WireAttempt.set_target_left_us(MicrosUntil(Active.Target));
+  WireAttempt.set_idempotent(Active.Idempotent);
+  if (!Active.Idempotent) {
+    WireAttempt.set_key(Active.Request.Key);
+    WireAttempt.set_key_issued_ms(Active.Request.KeyIssuedMs);
+    WireAttempt.set_received_ms(Active.ReceivedMs);
   }
-  T.set_fingerprint(A.Fingerprint);
-  T.set_isolated(A.Isolated);
-  T.set_method(A.Ask.Method);
-  T.set_path(A.Ask.Path);
-  T.set_content_type(A.Ask.ContentType);
-  T.set_body(A.Ask.Body);
-  T.set_stream(A.Ask.Stream);
-  T.set_max_tokens(A.Ask.MaxTokens);
+  WireAttempt.set_fingerprint(Active.Fingerprint);
+  WireAttempt.set_isolated(Active.Isolated);
+  WireAttempt.set_method(Active.Request.Method);
+  WireAttempt.set_path(Active.Request.Path);
+  WireAttempt.set_content_type(Active.Request.ContentType);
+  WireAttempt.set_body(Active.Request.Body);
+  WireAttempt.set_stream(Active.Request.Stream);
+  WireAttempt.set_max_tokens(Active.Request.MaxTokens);
   Out.emplace_back(LogDecision{
       LineClass::Routine,
-      "route request=" + A.Ask.Id + " attempt=" + Id + " adapter=" +
-          (A.Ask.Adapter.empty() ? A.Ask.Path
-                                 : slotKey(A.Ask.Adapter, A.Ask.Version)) +
-          " rank=" + A.Rank.Name + " upstream=" + Upstream +
+      "route request=" + Active.Request.Id + " attempt=" + Id + " adapter=" +
+          (Active.Request.Adapter.empty()
+               ? Active.Request.Path
+               : slotKey(Active.Request.Adapter, Active.Request.Version)) +
+          " rank=" + Active.Rank.Name + " upstream=" + Upstream +
           " reason=" + std::string(Reason)});
   Out.emplace_back(std::move(Send));
 }
 
-std::string EntryMachine::explain(const Now &N, std::string_view Adapter,
+std::string EntryMachine::explain(const Now &Now, std::string_view Adapter,
                                   std::string_view Version) const {
   const AdapterDecl *Decl = Config->adapter(Adapter);
   if (!Decl)
@@ -292,10 +308,10 @@
                     Cell + " strategy " + std::string(Opts.strategy().Name) +
                     "\n";
   for (const UpstreamDecl *U : rendezvousOrder(hash64(Key), Group, Count)) {
-    const Candidate C = describe(*U, hash64(Key));
+    const Candidate C = makeCandidate(*U, hash64(Key));
     const auto View = Views.find(U->Name);
     const bool Usable = View == Views.end() ||
-                        View->second.available(N.Steady, Opts.sideView());
+                        View->second.available(Now.Steady, Opts.sideView());
     Out += "candidate " + U->Name + " available " + (Usable ? "yes" : "no") +
            " resident " + (C.Resident ? "yes" : "no") + " load " +
            std::to_string(C.Load) + " of " + std::to_string(C.Width) + "\n";
@@ -303,14 +319,15 @@
   return Out;
 }
 
-std::vector<std::string> EntryMachine::availableUpstreams(const Now &N) const {
+std::vector<std::string>
+EntryMachine::availableUpstreams(const Now &Now) const {
   std::vector<std::string> Out;
   for (const UpstreamDecl &U : Config->upstreams()) {
     if (U.Cell != Cell)
       continue;
     const auto View = Views.find(U.Name);
     if (View == Views.end() ||
-        View->second.available(N.Steady, Opts.sideView()))
+        View->second.available(Now.Steady, Opts.sideView()))
       Out.push_back(U.Name);
   }
   return Out;
--- a/entry/request_parser.cc
+++ b/entry/request_parser.cc
@@ -1,6 +1,6 @@
-// The JSON library parses the body once; only the fields that routing needs
-// are looked at, and the body is passed on as it came. Body and header sizes
-// are bounded by the HTTP server.
+// The JSON library parses the body once. Only the fields that routing needs are
+// read; the body is forwarded unchanged. The HTTP server bounds the sizes of
+// body and headers.
 #include "entry/request_parser.h"
 
 #include <charconv>
@@ -13,7 +13,7 @@
 
 constexpr size_t MaxKeyBytes = 128;
 constexpr int64_t MaxTimeLimitMs = 24LL * 3600 * 1000;
-constexpr uint32_t MaxMaxTokens = 1000000;
+constexpr uint32_t MaxTokensLimit = 1000000;
 
 bool parseNumber(std::string_view Text, int64_t &Out) {
   const auto [End, Error] =
@@ -39,11 +39,12 @@
   if (Out.Key.size() > MaxKeyBytes)
     return "Idempotency-Key is too long";
   const std::string_view Issued = From.header("Idempotency-Key-Issued-At");
-  const bool Known = Issued.empty() ? issueTimeOfUuid(Out.Key, Out.KeyIssuedMs)
-                                    : parseNumber(Issued, Out.KeyIssuedMs);
-  return Known ? std::string()
-               : "Idempotency-Key must be a version 7 UUID or come with "
-                 "Idempotency-Key-Issued-At in Unix milliseconds";
+  const bool HasIssueTime = Issued.empty()
+                                ? issueTimeOfUuid(Out.Key, Out.KeyIssuedMs)
+                                : parseNumber(Issued, Out.KeyIssuedMs);
+  return HasIssueTime ? std::string()
+                      : "Idempotency-Key must be a version 7 UUID or come with "
+                        "Idempotency-Key-Issued-At in Unix milliseconds";
 }
 
 std::string readTimeLimit(const http::Request &From, CallerRequest &Out) {
@@ -78,7 +79,7 @@
   if (Tokens == Json.end())
     return {};
   if (!Tokens->is_number_unsigned() || Tokens->get<uint64_t>() == 0 ||
-      Tokens->get<uint64_t>() > MaxMaxTokens)
+      Tokens->get<uint64_t>() > MaxTokensLimit)
     return "'max_tokens' must be a positive number";
   Out.MaxTokens = Tokens->get<uint32_t>();
   return {};
@@ -102,7 +103,7 @@
   R.Body = std::move(From.Body);
   const bool Completion = isCompletion(R.Path);
   if (Completion && R.Method != "POST")
-    Out.Problem = "completion calls are POST";
+    Out.Problem = "completion requests must use POST";
   if (Out.Problem.empty())
     Out.Problem = readKey(From, R);
   if (Out.Problem.empty())
--- a/entry/request_parser.h
+++ b/entry/request_parser.h
@@ -1,9 +1,9 @@
-// Turns an HTTP request into a CallerRequest: the OpenAI-style completion
-// calls, or a call to a plain service. Checks form only; names are checked
-// against the declarations by the EntryMachine.
+// Parses an HTTP request into a CallerRequest: an OpenAI-style completion
+// request, or a request to a plain service. Checks only that it is well-formed;
+// the entry's state machine looks its names up in the declarations.
 //
-//   ParsedRequest P = parseCallerRequest(Http, "id-1");
-//   if (!P.Problem.empty()) refuse(400, P.Problem);
+//   ParsedRequest Parsed = parseCallerRequest(std::move(Http), "id-1");
+//   if (!Parsed.Problem.empty()) refuse(400, Parsed.Problem);
 #ifndef GOLDCRESTLINK_ENTRY_REQUEST_PARSER_H
 #define GOLDCRESTLINK_ENTRY_REQUEST_PARSER_H
 
@@ -20,10 +20,12 @@
   std::string Problem;
 };
 
-/// Thread-safe; never throws on bad input.
+/// Parses \p From; the result has the id \p Id. Thread-safe. Malformed input
+/// sets Problem and never throws.
 ParsedRequest parseCallerRequest(http::Request &&From, std::string Id);
 
-/// The JSON body with which a caller is told of a refusal or failure.
+/// The JSON body of the response that reports a refusal or failure.
+/// Thread-safe.
 std::string errorBody(Code Why, Outcome Known, std::string_view RequestId,
                       std::string_view Detail);
 
--- a/entry/testing/entry_machine_test.cc
+++ b/entry/testing/entry_machine_test.cc
@@ -1,4 +1,6 @@
-// Contract tests of an entry's decisions and of its request parser.
+// Tests of the entry's state machine and of its request parser. A fixture takes
+// the part of the sides: it answers probes and sends events of the open
+// attempt. Times are in milliseconds from the start of each test.
 #include <sstream>
 
 #include <doctest/doctest.h>
@@ -34,32 +36,34 @@
           WallTime(std::chrono::milliseconds(100000 + Ms))};
 }
 
-struct Bench {
-  explicit Bench(const char *Cell = "d")
+struct EntryFixture {
+  explicit EntryFixture(const char *Cell = "d")
       : Machine(EntryMachine::Options(), config(), Cell, 9) {}
 
+  // A completion request. It arrives at Ms.
   void completion(int64_t Ms, const char *Adapter = "a",
                   const char *Version = "1", const char *Application = "app",
                   const char *Rank = "") {
-    CallerRequest R;
-    R.Id = "r";
-    R.Adapter = Adapter;
-    R.Version = Version;
-    R.Application = Application;
-    R.Rank = Rank;
-    Machine.onRequest(at(Ms), R, Out);
+    CallerRequest Request;
+    Request.Id = "r";
+    Request.Adapter = Adapter;
+    Request.Version = Version;
+    Request.Application = Application;
+    Request.Rank = Rank;
+    Machine.onRequest(at(Ms), Request, Out);
   }
 
+  // A request to the plain service, not idempotent. It arrives at Ms.
   void order(int64_t Ms, const char *Key) {
-    CallerRequest R;
-    R.Id = "r";
-    R.Path = "/orders";
-    R.Key = Key;
-    R.KeyIssuedMs = unixMillis(at(Ms).Wall);
-    Machine.onRequest(at(Ms), R, Out);
+    CallerRequest Request;
+    Request.Id = "r";
+    Request.Path = "/orders";
+    Request.Key = Key;
+    Request.KeyIssuedMs = unixMillis(at(Ms).Wall);
+    Machine.onRequest(at(Ms), Request, Out);
   }
 
-  // The attempt that is open now, as last sent.
+  // The message of the attempt that was sent last; null if there is none.
   const SendSide *attempt() const {
     const SendSide *Found = nullptr;
     for (const Action &A : Out)
@@ -69,6 +73,7 @@
     return Found;
   }
 
+  // Answers all probes sent so far, except those to the upstream Except.
   void answerProbes(int64_t Ms, const std::string &Except = {}) {
     for (const Action &A : Actions(Out))
       if (const auto *S = std::get_if<SendSide>(&A))
@@ -80,6 +85,7 @@
         }
   }
 
+  // Sends an event of the last attempt from the side that it was sent to.
   void event(int64_t Ms, wire::AttemptEvent::Kind Kind, uint32_t Sequence,
              const std::string &Code = {},
              wire::Outcome Known = wire::OUTCOME_NONE) {
@@ -104,11 +110,12 @@
     return nullptr;
   }
 
+  // The number of actions of one kind.
   template <class Kind> size_t count() const {
-    size_t N = 0;
+    size_t Total = 0;
     for (const Action &A : Out)
-      N += std::holds_alternative<Kind>(A) ? 1 : 0;
-    return N;
+      Total += std::holds_alternative<Kind>(A) ? 1 : 0;
+    return Total;
   }
 
   EntryMachine Machine;
@@ -133,128 +140,134 @@
 
 } // namespace
 
-TEST_CASE("names that are not declared are refused without running") {
+TEST_CASE("a request with an undeclared name is refused without running") {
   for (const NameRow &Row : NameRows) {
-    Bench B;
-    B.completion(0, Row.Adapter, Row.Version, Row.Application, Row.Rank);
-    REQUIRE(B.error());
-    CHECK(B.error()->Why == Row.Why);
-    CHECK(B.error()->Known == Outcome::NotRun);
-    CHECK(B.Machine.requestsInProgress() == 0);
+    EntryFixture Entry;
+    Entry.completion(0, Row.Adapter, Row.Version, Row.Application, Row.Rank);
+    REQUIRE(Entry.error());
+    CHECK(Entry.error()->Why == Row.Why);
+    CHECK(Entry.error()->Known == Outcome::NotRun);
+    CHECK(Entry.Machine.requestsInProgress() == 0);
   }
 }
 
-TEST_CASE("a refused attempt is tried elsewhere, within bounds") {
-  Bench B;
-  B.completion(0);
-  B.answerProbes(1);
-  const std::string First = B.attempt()->Upstream;
-  B.event(2, wire::AttemptEvent::REFUSED, 0, "overloaded",
-          wire::OUTCOME_NOT_RUN);
-  B.answerProbes(3);
-  CHECK(B.attempt()->Upstream != First);
-  for (int I = 0; I < 10 && !B.error(); ++I) {
-    B.event(4 + I, wire::AttemptEvent::REFUSED, 0, "overloaded",
-            wire::OUTCOME_NOT_RUN);
-    B.answerProbes(4 + I);
+TEST_CASE("a refused attempt is retried at another side a bounded number of "
+          "times") {
+  EntryFixture Entry;
+  Entry.completion(0);
+  Entry.answerProbes(1);
+  const std::string First = Entry.attempt()->Upstream;
+  Entry.event(2, wire::AttemptEvent::REFUSED, 0, "overloaded",
+              wire::OUTCOME_NOT_RUN);
+  Entry.answerProbes(3);
+  CHECK(Entry.attempt()->Upstream != First);
+  for (int I = 0; I < 10 && !Entry.error(); ++I) {
+    Entry.event(4 + I, wire::AttemptEvent::REFUSED, 0, "overloaded",
+                wire::OUTCOME_NOT_RUN);
+    Entry.answerProbes(4 + I);
   }
-  REQUIRE(B.error());
-  CHECK(B.error()->Known == Outcome::NotRun);
+  REQUIRE(Entry.error());
+  CHECK(Entry.error()->Known == Outcome::NotRun);
 }
 
-TEST_CASE(
-    "events out of order, repeated or of another side are not delivered") {
-  Bench B;
-  B.completion(0);
-  B.answerProbes(1);
-  B.event(2, wire::AttemptEvent::HEAD, 0);
-  B.event(3, wire::AttemptEvent::DATA, 1);
-  B.event(4, wire::AttemptEvent::DATA, 1);
-  CHECK(B.count<DeliverData>() == 1);
-  B.event(5, wire::AttemptEvent::DATA, 3); // A gap asks for what is missing.
-  CHECK(B.count<DeliverData>() == 1);
-  CHECK(std::get<SendSide>(B.Out.back()).Message.resume().next_sequence() == 2);
+TEST_CASE("events that are out of order, repeated or from another side are not "
+          "delivered") {
+  EntryFixture Entry;
+  Entry.completion(0);
+  Entry.answerProbes(1);
+  Entry.event(2, wire::AttemptEvent::HEAD, 0);
+  Entry.event(3, wire::AttemptEvent::DATA, 1);
+  Entry.event(4, wire::AttemptEvent::DATA, 1);
+  CHECK(Entry.count<DeliverData>() == 1);
+  Entry.event(5, wire::AttemptEvent::DATA, 3); // Requests event 2.
+  CHECK(Entry.count<DeliverData>() == 1);
+  CHECK(std::get<SendSide>(Entry.Out.back()).Message.resume().next_sequence() ==
+        2);
   wire::Envelope E;
   E.mutable_event()->set_attempt_id(
-      B.attempt()->Message.attempt().attempt_id());
+      Entry.attempt()->Message.attempt().attempt_id());
   E.mutable_event()->set_sequence(2);
   E.mutable_event()->set_kind(wire::AttemptEvent::DATA);
-  const std::string Other = B.attempt()->Upstream == "e1" ? "e2" : "e1";
-  B.Machine.onEnvelope(at(6), Other, E, B.Out);
-  CHECK(B.count<DeliverData>() == 1);
+  const std::string Other = Entry.attempt()->Upstream == "e1" ? "e2" : "e1";
+  Entry.Machine.onEnvelope(at(6), Other, E, Entry.Out);
+  CHECK(Entry.count<DeliverData>() == 1);
 }
 
-TEST_CASE("a stream that breaks before its first data is tried elsewhere") {
-  Bench B;
-  B.completion(0);
-  B.answerProbes(1);
-  const std::string First = B.attempt()->Upstream;
-  B.event(2, wire::AttemptEvent::HEAD, 0);
-  B.event(3, wire::AttemptEvent::FAILED, 1, "interrupted",
-          wire::OUTCOME_UNKNOWN);
-  B.answerProbes(4);
-  CHECK_FALSE(B.error());
-  CHECK(B.count<DeliverHead>() == 0);
-  CHECK(B.attempt()->Upstream != First);
+TEST_CASE(
+    "a stream that breaks before its first data is retried at another side") {
+  EntryFixture Entry;
+  Entry.completion(0);
+  Entry.answerProbes(1);
+  const std::string First = Entry.attempt()->Upstream;
+  Entry.event(2, wire::AttemptEvent::HEAD, 0);
+  Entry.event(3, wire::AttemptEvent::FAILED, 1, "interrupted",
+              wire::OUTCOME_UNKNOWN);
+  Entry.answerProbes(4);
+  CHECK_FALSE(Entry.error());
+  CHECK(Entry.count<DeliverHead>() == 0);
+  CHECK(Entry.attempt()->Upstream != First);
 }
 
 TEST_CASE("a stream that breaks after its first data ends in an error") {
-  Bench B;
-  B.completion(0);
-  B.answerProbes(1);
-  B.event(2, wire::AttemptEvent::HEAD, 0);
-  B.event(3, wire::AttemptEvent::DATA, 1);
-  B.event(4, wire::AttemptEvent::FAILED, 2, "interrupted",
-          wire::OUTCOME_UNKNOWN);
-  REQUIRE(B.error());
-  CHECK(B.error()->InStream);
-  CHECK(B.count<DeliverEnd>() == 0);
+  EntryFixture Entry;
+  Entry.completion(0);
+  Entry.answerProbes(1);
+  Entry.event(2, wire::AttemptEvent::HEAD, 0);
+  Entry.event(3, wire::AttemptEvent::DATA, 1);
+  Entry.event(4, wire::AttemptEvent::FAILED, 2, "interrupted",
+              wire::OUTCOME_UNKNOWN);
+  REQUIRE(Entry.error());
+  CHECK(Entry.error()->InStream);
+  CHECK(Entry.count<DeliverEnd>() == 0);
 }
 
-TEST_CASE("an attempt that its side lost in a restart is tried elsewhere") {
-  Bench B;
-  B.completion(0);
-  B.answerProbes(1);
-  const std::string First = B.attempt()->Upstream;
-  B.event(2, wire::AttemptEvent::ACCEPTED, 0);
-  B.event(3, wire::AttemptEvent::REFUSED, 0, "never_arrived");
-  B.answerProbes(4);
-  CHECK_FALSE(B.error());
-  CHECK(B.attempt()->Upstream != First);
+TEST_CASE("an attempt that its side lost in a restart is retried at another "
+          "side") {
+  EntryFixture Entry;
+  Entry.completion(0);
+  Entry.answerProbes(1);
+  const std::string First = Entry.attempt()->Upstream;
+  Entry.event(2, wire::AttemptEvent::ACCEPTED, 0);
+  Entry.event(3, wire::AttemptEvent::REFUSED, 0, "never_arrived");
+  Entry.answerProbes(4);
+  CHECK_FALSE(Entry.error());
+  CHECK(Entry.attempt()->Upstream != First);
 }
 
-TEST_CASE("silence costs first the connection, then moves the work") {
-  Bench B;
-  B.completion(0);
-  B.answerProbes(1);
-  const std::string First = B.attempt()->Upstream;
+TEST_CASE(
+    "a silent side has its connection reset, then its attempts are moved") {
+  EntryFixture Entry;
+  Entry.completion(0);
+  Entry.answerProbes(1);
+  const std::string First = Entry.attempt()->Upstream;
   int64_t Ms = 2;
-  for (; Ms < 3000 && B.attempt()->Upstream == First; Ms += 5) {
-    B.Machine.onTimer(at(Ms), B.Out);
-    B.answerProbes(Ms, First);
+  for (; Ms < 3000 && Entry.attempt()->Upstream == First; Ms += 5) {
+    Entry.Machine.onTimer(at(Ms), Entry.Out);
+    Entry.answerProbes(Ms, First);
   }
-  CHECK(B.count<ResetConnection>() >= 1);
-  CHECK(B.attempt()->Upstream != First);
+  CHECK(Entry.count<ResetConnection>() >= 1);
+  CHECK(Entry.attempt()->Upstream != First);
 }
 
 TEST_CASE("every request ends at its deadline, with an outcome") {
-  Bench B;
-  B.completion(0);
-  B.answerProbes(1);
+  EntryFixture Entry;
+  Entry.completion(0);
+  Entry.answerProbes(1);
   for (int64_t Ms = 2; Ms <= 5005; Ms += 5)
-    B.Machine.onTimer(at(Ms), B.Out);
-  REQUIRE(B.error());
-  CHECK(B.error()->Known == Outcome::Unknown);
-  CHECK(B.Machine.requestsInProgress() == 0);
+    Entry.Machine.onTimer(at(Ms), Entry.Out);
+  REQUIRE(Entry.error());
+  CHECK(Entry.error()->Known == Outcome::Unknown);
+  CHECK(Entry.Machine.requestsInProgress() == 0);
 }
 
 namespace {
 struct KeyedRow {
   const char *Code;
-  wire::Outcome Said;
+  // What the side reports with its refusal.
+  wire::Outcome Reported;
+  // What the caller is told when the deadline has passed.
   Outcome Known;
 };
-// What the caller of a keyed call is told when its time is over.
 const KeyedRow KeyedRows[] = {
     {"overloaded", wire::OUTCOME_NOT_RUN, Outcome::NotRun},
     {"lease_lapsed", wire::OUTCOME_NONE, Outcome::Unknown},
@@ -263,35 +276,36 @@
 };
 } // namespace
 
-TEST_CASE("only the owner's word makes a keyed call not run") {
+TEST_CASE("a keyed request is reported as not run only if the owner of its key "
+          "says so") {
   for (const KeyedRow &Row : KeyedRows) {
-    Bench B;
-    B.order(0, "key");
-    REQUIRE(B.attempt());
-    for (int64_t Ms = 1; Ms <= 5005 && !B.error(); Ms += 5) {
-      if (B.attempt() && B.Machine.requestsInProgress() > 0)
-        B.event(Ms, wire::AttemptEvent::REFUSED, 0, Row.Code, Row.Said);
-      B.Machine.onTimer(at(Ms), B.Out);
+    EntryFixture Entry;
+    Entry.order(0, "key");
+    REQUIRE(Entry.attempt());
+    for (int64_t Ms = 1; Ms <= 5005 && !Entry.error(); Ms += 5) {
+      if (Entry.attempt() && Entry.Machine.requestsInProgress() > 0)
+        Entry.event(Ms, wire::AttemptEvent::REFUSED, 0, Row.Code, Row.Reported);
+      Entry.Machine.onTimer(at(Ms), Entry.Out);
     }
-    REQUIRE(B.error());
-    CHECK_MESSAGE(B.error()->Known == Row.Known, std::string(Row.Code));
+    REQUIRE(Entry.error());
+    CHECK_MESSAGE(Entry.error()->Known == Row.Known, std::string(Row.Code));
   }
 }
 
-TEST_CASE("another cell serves when the own one cannot") {
-  Bench B("other-cell");
-  B.completion(0);
-  B.answerProbes(1);
-  CHECK(B.attempt());
+TEST_CASE("an entry uses other cells if its own cell has no usable upstream") {
+  EntryFixture Entry("other-cell");
+  Entry.completion(0);
+  Entry.answerProbes(1);
+  CHECK(Entry.attempt());
 }
 
-TEST_CASE("a leaving upstream gets nothing new") {
-  Bench B;
-  B.Machine.onMembership({"e1", "e2"}, {});
-  B.completion(0);
-  B.answerProbes(1);
-  REQUIRE(B.attempt());
-  CHECK(B.attempt()->Upstream == "e3");
+TEST_CASE("a draining upstream receives no new requests") {
+  EntryFixture Entry;
+  Entry.Machine.onMembership({"e1", "e2"}, {});
+  Entry.completion(0);
+  Entry.answerProbes(1);
+  REQUIRE(Entry.attempt());
+  CHECK(Entry.attempt()->Upstream == "e3");
 }
 
 namespace {
@@ -300,7 +314,7 @@
   const char *Name;
   const char *Body;
   http::Headers Fields;
-  bool Good;
+  bool WellFormed;
 };
 
 const ParseRow ParseRows[] = {
@@ -331,7 +345,8 @@
 
 } // namespace
 
-TEST_CASE("malformed requests are named as such") {
+TEST_CASE("the parser rejects malformed requests and reads the issue time of a "
+          "key") {
   for (const ParseRow &Row : ParseRows) {
     http::Request R;
     R.Method = "POST";
@@ -339,7 +354,7 @@
     R.Body = Row.Body;
     R.Fields = Row.Fields;
     const auto P = parseCallerRequest(std::move(R), "r");
-    CHECK_MESSAGE(P.Problem.empty() == Row.Good, std::string(Row.Name));
+    CHECK_MESSAGE(P.Problem.empty() == Row.WellFormed, std::string(Row.Name));
   }
   http::Request Uuid;
   Uuid.Target = "/orders";
