--- a/daemon/admission_codec.h
+++ b/daemon/admission_codec.h
@@ -1,7 +1,7 @@
-// Admission messages between entries and sides, to and from their envelopes.
+// Encodes and decodes the admission messages between entries and sides.
 //
-//   wire::Envelope E = encodeAsk(Ask);
-//   AdmissionAsk A = decodeAsk(E.admission_ask(), Peer);
+//   wire::Envelope E = encodeAdmissionRequest(Request);
+//   auto Request = decodeAdmissionRequest(E.admission_ask(), Peer);
 #ifndef GOLDCRESTLINK_DAEMON_ADMISSION_CODEC_H
 #define GOLDCRESTLINK_DAEMON_ADMISSION_CODEC_H
 
@@ -10,17 +10,19 @@
 
 namespace goldcrestlink {
 
-/// All are thread-safe.
-wire::Envelope encodeAsk(const AdmissionAsk &A);
-AdmissionAsk decodeAsk(const wire::AdmissionAsk &M, std::string Peer);
-wire::Envelope encodeReply(uint64_t AskId, const AdmissionReply &R);
-AdmissionReply decodeReply(const wire::AdmissionReply &M);
-wire::Envelope encodeEnd(uint64_t AskId, Duration FirstToken);
-/// \p UpstreamId is the engine's incarnation, \p Entries the number of entries
-/// that the side has heard of lately.
-wire::Envelope encodeLoad(const EngineLoad &L, std::string_view UpstreamId,
-                          size_t Entries);
-EngineLoad decodeLoad(const wire::EngineLoad &M);
+// All functions are thread-safe.
+
+wire::Envelope encodeAdmissionRequest(const AdmissionAsk &Request);
+AdmissionAsk decodeAdmissionRequest(const wire::AdmissionAsk &Message,
+                                    std::string Peer);
+wire::Envelope encodeReply(uint64_t RequestId, const AdmissionReply &Reply);
+AdmissionReply decodeReply(const wire::AdmissionReply &Message);
+wire::Envelope encodeEnd(uint64_t RequestId, Duration FirstToken);
+/// \p UpstreamId names the engine's incarnation, \p EntryCount is the number of
+/// entries from which the side has recently received messages.
+wire::Envelope encodeLoad(const EngineLoad &Load, std::string_view UpstreamId,
+                          size_t EntryCount);
+EngineLoad decodeLoad(const wire::EngineLoad &Message);
 
 } // namespace goldcrestlink
 
--- a/daemon/belief_codec.cc
+++ b/daemon/belief_codec.cc
@@ -1,4 +1,4 @@
-// Field by field.
+// Copies field by field.
 #include "daemon/belief_codec.h"
 
 #include <stdexcept>
@@ -7,90 +7,91 @@
 
 namespace {
 
-void fill(wire::BeliefRevisions &M, const BeliefRevisions &R) {
-  M.set_config_version(R.Config);
-  M.set_upstreams(R.Upstreams);
-  M.set_releases(R.Releases);
+void fillRevisions(wire::BeliefRevisions &Message, const BeliefRevisions &R) {
+  Message.set_config_version(R.Config);
+  Message.set_upstreams(R.Upstreams);
+  Message.set_releases(R.Releases);
 }
 
-void fillUpstream(wire::Beliefs::Upstream &M, const UpstreamChange &C) {
-  M.set_id(C.Id);
-  M.set_revision(C.Revision);
-  M.set_gone(!C.Record);
-  if (!C.Record)
+void fillUpstream(wire::Beliefs::Upstream &Message,
+                  const UpstreamChange &Change) {
+  Message.set_id(Change.Id);
+  Message.set_revision(Change.Revision);
+  Message.set_gone(!Change.Record);
+  if (!Change.Record)
     return;
-  M.set_service(C.Record->Service);
-  M.set_address(C.Record->Address.text());
-  M.set_data_centre(C.Record->DataCentre);
-  M.set_slots(C.Record->Slots);
-  M.set_draining(C.Record->Draining);
+  Message.set_service(Change.Record->Service);
+  Message.set_address(Change.Record->Address.text());
+  Message.set_data_centre(Change.Record->DataCentre);
+  Message.set_slots(Change.Record->Slots);
+  Message.set_draining(Change.Record->Draining);
 }
 
-UpstreamChange decodeUpstream(const wire::Beliefs::Upstream &M) {
-  UpstreamChange C{M.id(), M.revision(), std::nullopt};
-  if (M.gone())
-    return C;
+UpstreamChange decodeUpstream(const wire::Beliefs::Upstream &Message) {
+  UpstreamChange Change{Message.id(), Message.revision(), std::nullopt};
+  if (Message.gone())
+    return Change;
   UpstreamRecord R;
-  R.Id = M.id();
-  R.Service = M.service();
-  R.Address = http::Endpoint::parse(M.address());
-  R.DataCentre = M.data_centre();
-  R.Slots = M.slots();
-  R.Draining = M.draining();
-  C.Record = std::move(R);
-  return C;
+  R.Id = Message.id();
+  R.Service = Message.service();
+  R.Address = http::Endpoint::parse(Message.address());
+  R.DataCentre = Message.data_centre();
+  R.Slots = Message.slots();
+  R.Draining = Message.draining();
+  Change.Record = std::move(R);
+  return Change;
 }
 
 } // namespace
 
 wire::Envelope encodeDigest(const BeliefRevisions &R) {
-  wire::Envelope E;
-  fill(*E.mutable_digest(), R);
-  return E;
+  wire::Envelope Out;
+  fillRevisions(*Out.mutable_digest(), R);
+  return Out;
 }
 
-wire::Envelope encodeBeliefRequest(const BeliefRevisions &Known) {
-  wire::Envelope E;
-  fill(*E.mutable_belief_request(), Known);
-  return E;
+wire::Envelope encodeCatalogRequest(const BeliefRevisions &Known) {
+  wire::Envelope Out;
+  fillRevisions(*Out.mutable_belief_request(), Known);
+  return Out;
 }
 
-wire::Envelope encodeBeliefs(const BeliefUpdate &U) {
-  wire::Envelope E;
-  wire::Beliefs &M = *E.mutable_beliefs();
-  M.set_config(U.ConfigText);
-  for (const UpstreamChange &C : U.Upstreams)
-    fillUpstream(*M.add_upstreams(), C);
-  for (const WeightRelease &R : U.Releases) {
-    wire::Beliefs::Release &Out = *M.add_releases();
-    Out.set_model(R.Model);
-    Out.set_adapter(R.Adapter);
-    Out.set_version(R.Version);
-    Out.set_revision(R.Revision);
+wire::Envelope encodeCatalogUpdate(const BeliefUpdate &Update) {
+  wire::Envelope Out;
+  wire::Beliefs &Message = *Out.mutable_beliefs();
+  Message.set_config(Update.ConfigText);
+  for (const UpstreamChange &Change : Update.Upstreams)
+    fillUpstream(*Message.add_upstreams(), Change);
+  for (const WeightRelease &R : Update.Releases) {
+    wire::Beliefs::Release &Release = *Message.add_releases();
+    Release.set_model(R.Model);
+    Release.set_adapter(R.Adapter);
+    Release.set_version(R.Version);
+    Release.set_revision(R.Revision);
   }
-  fill(*M.mutable_as_of(), U.AsOf);
-  return E;
+  fillRevisions(*Message.mutable_as_of(), Update.AsOf);
+  return Out;
 }
 
-BeliefRevisions decodeRevisions(const wire::BeliefRevisions &M) {
-  return {M.config_version(), M.upstreams(), M.releases()};
+BeliefRevisions decodeRevisions(const wire::BeliefRevisions &Message) {
+  return {Message.config_version(), Message.upstreams(), Message.releases()};
 }
 
-BeliefUpdate decodeBeliefs(const wire::Beliefs &M) {
-  BeliefUpdate U;
-  U.ConfigText = M.config();
-  for (const wire::Beliefs::Upstream &Item : M.upstreams()) {
+BeliefUpdate decodeCatalogUpdate(const wire::Beliefs &Message) {
+  BeliefUpdate Update;
+  Update.ConfigText = Message.config();
+  for (const wire::Beliefs::Upstream &Item : Message.upstreams()) {
     try {
-      U.Upstreams.push_back(decodeUpstream(Item));
+      Update.Upstreams.push_back(decodeUpstream(Item));
     } catch (const std::invalid_argument &) {
-      continue; // A record without a usable address names no upstream.
+      continue; // Calls need an address, so the upstream is left out.
     }
   }
-  for (const wire::Beliefs::Release &Item : M.releases())
-    U.Releases.push_back(
+  for (const wire::Beliefs::Release &Item : Message.releases())
+    Update.Releases.push_back(
         {Item.model(), Item.adapter(), Item.version(), Item.revision()});
-  U.AsOf = decodeRevisions(M.as_of());
-  return U;
+  Update.AsOf = decodeRevisions(Message.as_of());
+  return Update;
 }
 
 } // namespace goldcrestlink
--- a/daemon/belief_codec.h
+++ b/daemon/belief_codec.h
@@ -1,8 +1,9 @@
-// Messages by which processes pass on what they know of the deployment, to and
-// from the catalogue's types.
+// Encodes and decodes the messages by which processes exchange catalog state: a
+// digest of revisions, a request for newer state, and an update with that
+// state.
 //
 //   wire::Envelope E = encodeDigest(Catalog.revisions());
-//   BeliefUpdate U = decodeBeliefs(E.beliefs());
+//   auto Update = decodeCatalogUpdate(E.beliefs());
 #ifndef GOLDCRESTLINK_DAEMON_BELIEF_CODEC_H
 #define GOLDCRESTLINK_DAEMON_BELIEF_CODEC_H
 
@@ -11,13 +12,16 @@
 
 namespace goldcrestlink {
 
-/// All are thread-safe.
-wire::Envelope encodeDigest(const BeliefRevisions &R);
-wire::Envelope encodeBeliefRequest(const BeliefRevisions &Known);
-wire::Envelope encodeBeliefs(const BeliefUpdate &U);
-BeliefRevisions decodeRevisions(const wire::BeliefRevisions &M);
-/// Upstreams whose address cannot be parsed are left out.
-BeliefUpdate decodeBeliefs(const wire::Beliefs &M);
+// All functions are thread-safe.
+
+/// Announces the revisions of the sender's catalog.
+wire::Envelope encodeDigest(const BeliefRevisions &Revisions);
+/// Requests the state that is newer than \p Known.
+wire::Envelope encodeCatalogRequest(const BeliefRevisions &Known);
+wire::Envelope encodeCatalogUpdate(const BeliefUpdate &Update);
+BeliefRevisions decodeRevisions(const wire::BeliefRevisions &Message);
+/// Omits upstreams whose address cannot be parsed.
+BeliefUpdate decodeCatalogUpdate(const wire::Beliefs &Message);
 
 } // namespace goldcrestlink
 
--- a/daemon/belief_exchange.cc
+++ b/daemon/belief_exchange.cc
@@ -1,15 +1,15 @@
-// A pause between requests bounds what a burst of digests costs.
+// The minimum interval between requests bounds the cost of a burst of digests.
 #include "daemon/belief_exchange.h"
 
 namespace goldcrestlink {
 
 std::optional<wire::Envelope>
-BeliefExchange::askFor(Time N, const BeliefRevisions &Theirs,
-                       const BeliefRevisions &Own) {
-  if (!Own.lacks(Theirs) || N < NextRequest)
+CatalogExchange::requestMissing(Time Now, const BeliefRevisions &Theirs,
+                                const BeliefRevisions &Own) {
+  if (!Own.lacks(Theirs) || Now < NextRequest)
     return std::nullopt;
-  NextRequest = N + RequestPause;
-  return encodeBeliefRequest(Own);
+  NextRequest = Now + MinRequestInterval;
+  return encodeCatalogRequest(Own);
 }
 
 } // namespace goldcrestlink
--- a/daemon/belief_exchange.h
+++ b/daemon/belief_exchange.h
@@ -1,8 +1,8 @@
-// How a process answers what others say of their beliefs: it asks for what it
-// lacks, seldom, and gives what it is asked for.
+// How a process answers the catalog messages of others: it requests newer state
+// that they announce, at a bounded rate, and sends the state that they request.
 //
-//   if (auto E = Exchange.askFor(Now, Theirs, Own)) send(*E);
-//   wire::Envelope E = beliefsFor(Message.belief_request(), Catalog);
+//   if (auto E = Exchange.requestMissing(Now, Theirs, Own)) send(*E);
+//   wire::Envelope E = catalogUpdateFor(Message.belief_request(), Catalog);
 #ifndef GOLDCRESTLINK_DAEMON_BELIEF_EXCHANGE_H
 #define GOLDCRESTLINK_DAEMON_BELIEF_EXCHANGE_H
 
@@ -13,25 +13,27 @@
 namespace goldcrestlink {
 
 /// Not thread-safe.
-class BeliefExchange {
+class CatalogExchange {
 public:
-  /// A request for what \p Own lacks of \p Theirs; none if nothing is lacking
-  /// or another request was made within the last RequestPause.
-  std::optional<wire::Envelope> askFor(Time N, const BeliefRevisions &Theirs,
-                                       const BeliefRevisions &Own);
+  /// A request for the state that \p Theirs has and \p Own lacks; nullopt if
+  /// there is none or the last request is less than MinRequestInterval ago.
+  std::optional<wire::Envelope> requestMissing(Time Now,
+                                               const BeliefRevisions &Theirs,
+                                               const BeliefRevisions &Own);
 
-  /// What is lacking may come from several at once; it is asked for at most
-  /// this often.
-  static constexpr Duration RequestPause = std::chrono::milliseconds(120);
+  /// Several processes may announce the same state at once; it is requested at
+  /// most this often.
+  static constexpr Duration MinRequestInterval = std::chrono::milliseconds(120);
 
 private:
   Time NextRequest{};
 };
 
-/// What \p Known has beyond the revisions in a request. Thread-safe.
-inline wire::Envelope beliefsFor(const wire::BeliefRevisions &Request,
-                                 const Catalog &Known) {
-  return encodeBeliefs(Known.since(decodeRevisions(Request)));
+/// The state in \p Known that is newer than the revisions in \p Request.
+/// Thread-safe.
+inline wire::Envelope catalogUpdateFor(const wire::BeliefRevisions &Request,
+                                       const Catalog &Known) {
+  return encodeCatalogUpdate(Known.since(decodeRevisions(Request)));
 }
 
 } // namespace goldcrestlink
--- a/daemon/cell_status.cc
+++ b/daemon/cell_status.cc
@@ -1,5 +1,6 @@
-// Writes are conditional like all others; a conflict, as when another side
-// wrote before, tells the present version, and the next write uses it.
+// Writes are conditional on the object's version. A conflict, for example after
+// another side has written the object, returns the current version, which the
+// next write uses.
 #include "daemon/cell_status.h"
 
 #include <nlohmann/json.hpp>
@@ -12,53 +13,54 @@
 constexpr Duration ReportExpiry = std::chrono::seconds(60);
 } // namespace
 
-void CellStatus::note(Time N, const wire::ProcessReport &Report) {
+void CellStatus::record(Time Now, const wire::ProcessReport &Report) {
   const bool Known = Processes.count(Report.name()) > 0;
   if (Known || Processes.size() < MaxProcesses)
-    Processes[Report.name()] = {Report, N};
+    Processes[Report.name()] = {Report, Now};
 }
 
 std::string CellStatus::text() const {
-  nlohmann::json All = nlohmann::json::array();
-  for (const auto &[Name, E] : Processes) {
-    const wire::ProcessReport &R = E.Report;
-    nlohmann::json One = {{"name", Name},
-                          {"role", R.entry() ? "entry" : "side"},
-                          {"generation", R.generation()},
-                          {"ready", R.ready()},
-                          {"running", R.running()},
-                          {"waiting", R.waiting()}};
+  nlohmann::json ProcessList = nlohmann::json::array();
+  for (const auto &[Name, Received] : Processes) {
+    const wire::ProcessReport &R = Received.Report;
+    nlohmann::json Item = {{"name", Name},
+                           {"role", R.entry() ? "entry" : "side"},
+                           {"generation", R.generation()},
+                           {"ready", R.ready()},
+                           {"running", R.running()},
+                           {"waiting", R.waiting()}};
     if (!R.entry()) {
-      One["upstream"] = R.upstream();
-      One["upstream_down"] = R.upstream_down();
+      Item["upstream"] = R.upstream();
+      Item["upstream_down"] = R.upstream_down();
     }
-    All.push_back(std::move(One));
+    ProcessList.push_back(std::move(Item));
   }
-  return nlohmann::json{{"cell", Cell}, {"processes", std::move(All)}}.dump();
+  return nlohmann::json{{"cell", Cell}, {"processes", std::move(ProcessList)}}
+      .dump();
 }
 
-void CellStatus::step(Time N) {
-  if (Busy || N < NextWrite)
+void CellStatus::step(Time Now) {
+  if (WritePending || Now < NextWrite)
     return;
-  NextWrite = N + WriteInterval;
+  NextWrite = Now + WriteInterval;
   std::erase_if(Processes, [&](const auto &Item) {
-    return N - Item.second.At > ReportExpiry;
+    return Now - Item.second.ReceivedAt > ReportExpiry;
   });
   std::string Body = text();
-  if (!Processes.empty() && Body != Written)
+  if (!Processes.empty() && Body != LastWritten)
     write(std::move(Body));
 }
 
 void CellStatus::write(std::string Body) {
-  Busy = true;
+  WritePending = true;
   Platform.put(objects::cellStatus(Cell), Version, Body,
-               [this, Body](ObjectStatus Status, const ObjectValue &V) {
-                 Busy = false;
-                 // A conflict's answer names the present version.
+               [this, Body](ObjectStatus Status, const ObjectValue &Value) {
+                 WritePending = false;
+                 // The response to a conflict carries the current version.
                  if (Status != ObjectStatus::Unavailable)
-                   Version = V.Version;
+                   Version = Value.Version;
                  if (Status == ObjectStatus::Ok)
-                   Written = Body;
+                   LastWritten = Body;
                });
 }
 
--- a/daemon/cell_status.h
+++ b/daemon/cell_status.h
@@ -1,8 +1,8 @@
-// The cell's status as operators read it: reports of all its processes, kept
-// by one side and written to the platform's object "status/<cell>".
+// The status of a cell for operators: the latest reports of all its processes,
+// collected by one side and written to the platform object "status/<cell>".
 //
 //   CellStatus S(Platform, "nz-north");
-//   S.note(Now, Report);         // from any process of the cell
+//   S.record(Now, Report);       // from any process of the cell
 //   S.step(Now);                 // writes at most once per WriteInterval
 #ifndef GOLDCRESTLINK_DAEMON_CELL_STATUS_H
 #define GOLDCRESTLINK_DAEMON_CELL_STATUS_H
@@ -20,26 +20,29 @@
 public:
   CellStatus(ObjectClient &Platform, std::string Cell)
       : Platform(Platform), Cell(std::move(Cell)) {}
-  void note(Time N, const wire::ProcessReport &Report);
-  /// Drops reports that have grown old and writes the status if it changed.
-  void step(Time N);
+  /// Keeps the latest report of a process. Reports of further processes are
+  /// ignored once there are MaxProcesses.
+  void record(Time Now, const wire::ProcessReport &Report);
+  /// Drops expired reports, and writes the status if it has changed. To be
+  /// called regularly.
+  void step(Time Now);
   /// JSON, one object per process.
   std::string text() const;
 
 private:
-  struct Entry {
+  struct ReceivedReport {
     wire::ProcessReport Report;
-    Time At;
+    Time ReceivedAt;
   };
   void write(std::string Body);
 
   ObjectClient &Platform;
   std::string Cell;
-  std::map<std::string, Entry> Processes;
-  std::string Written;
+  std::map<std::string, ReceivedReport> Processes;
+  std::string LastWritten;
   uint64_t Version = 0;
   Time NextWrite{};
-  bool Busy = false;
+  bool WritePending = false;
 };
 
 } // namespace goldcrestlink
--- a/daemon/config_keeper.cc
+++ b/daemon/config_keeper.cc
@@ -1,6 +1,7 @@
-// Reads of the platform are few: one at the start, one watch per watcher, and
-// a slow poll with jitter as a last resort. Until the first configuration is
-// in force the poll is fast. At most MaxFetches chunk reads are open at once.
+// A process seldom reads from the platform: once at the start, by one watch at
+// a time if it is a watcher, and by a slow poll with jitter in case an update
+// is missed. The poll is faster until the first configuration is in force. At
+// most MaxChunkReads chunk reads are open at once.
 #include "daemon/config_keeper.h"
 
 #include <boost/asio/io_context.hpp>
@@ -10,31 +11,33 @@
 namespace goldcrestlink {
 
 namespace {
-constexpr size_t MaxFetches = 16;
-constexpr Duration StartPoll = std::chrono::milliseconds(500);
-constexpr Duration SlowPoll = std::chrono::seconds(60);
+constexpr size_t MaxChunkReads = 16;
+constexpr Duration InitialPollInterval = std::chrono::milliseconds(500);
+constexpr Duration PollInterval = std::chrono::seconds(60);
 constexpr Duration WatchWait = std::chrono::seconds(20);
-constexpr Duration WatchRetry = std::chrono::milliseconds(500);
-constexpr size_t MaxChunksPerAnswer = 64;
-constexpr size_t MaxBytesPerAnswer = 2 * 1024 * 1024;
+constexpr Duration WatchRetryDelay = std::chrono::milliseconds(500);
+constexpr size_t MaxChunksPerRequest = 64;
+constexpr size_t MaxBytesPerReply = 2 * 1024 * 1024;
 } // namespace
 
-struct ConfigKeeper::Timers {
+struct ConfigUpdater::Timers {
   explicit Timers(boost::asio::io_context &Io) : Poll(Io), Watch(Io) {}
   boost::asio::steady_timer Poll;
   boost::asio::steady_timer Watch;
 };
 
-ConfigKeeper::ConfigKeeper(boost::asio::io_context &Io, ObjectClient &Client,
-                           uint64_t Seed, OnConfig OnPublish, AskPeer OnAsk)
-    : Platform(Client), Rand(Seed), Publish(std::move(OnPublish)),
-      Ask(std::move(OnAsk)), Timer(std::make_unique<Timers>(Io)) {}
+ConfigUpdater::ConfigUpdater(boost::asio::io_context &Io, ObjectClient &Client,
+                             uint64_t Seed, OnConfig InPublish,
+                             RequestFromPeer InSendRequest)
+    : Platform(Client), Rand(Seed), Publish(std::move(InPublish)),
+      SendRequest(std::move(InSendRequest)),
+      Timer(std::make_unique<Timers>(Io)) {}
 
-ConfigKeeper::~ConfigKeeper() = default;
+ConfigUpdater::~ConfigUpdater() = default;
 
-void ConfigKeeper::start() { readHead(); }
+void ConfigUpdater::start() { readHead(); }
 
-void ConfigKeeper::readHead() {
+void ConfigUpdater::readHead() {
   Platform.read(objects::ConfigHead,
                 [this](ObjectStatus Status, const ObjectValue &Value) {
                   onHead(Status, Value);
@@ -42,23 +45,26 @@
                 });
 }
 
-void ConfigKeeper::schedulePoll() {
-  const Duration Base = Replica.current() ? SlowPoll : StartPoll;
-  // Half to one and a half times the base, so that processes spread out.
-  Timer->Poll.expires_after(fromSeconds(seconds(Base) * (0.5 + Rand.unit())));
+void ConfigUpdater::schedulePoll() {
+  const Duration Interval =
+      Replica.current() ? PollInterval : InitialPollInterval;
+  // From half to one and a half times the interval, so that processes do not
+  // poll at the same moment.
+  Timer->Poll.expires_after(
+      fromSeconds(seconds(Interval) * (0.5 + Rand.unit())));
   Timer->Poll.async_wait([this](boost::system::error_code Error) {
     if (!Error)
       readHead();
   });
 }
 
-void ConfigKeeper::setWatching(bool On) {
+void ConfigUpdater::setWatching(bool On) {
   Watching = On;
   if (Watching && !WatchOpen)
     watchHead();
 }
 
-void ConfigKeeper::watchHead() {
+void ConfigUpdater::watchHead() {
   WatchOpen = true;
   Platform.watch(
       objects::ConfigHead, HeadVersion, WatchWait,
@@ -66,7 +72,7 @@
         onHead(Status, Value);
         const bool Failed =
             Status != ObjectStatus::Ok && Status != ObjectStatus::Unchanged;
-        Timer->Watch.expires_after(Failed ? WatchRetry : Duration(0));
+        Timer->Watch.expires_after(Failed ? WatchRetryDelay : Duration(0));
         Timer->Watch.async_wait([this](boost::system::error_code Error) {
           WatchOpen = false;
           if (!Error && Watching)
@@ -75,7 +81,7 @@
       });
 }
 
-void ConfigKeeper::onHead(ObjectStatus Status, const ObjectValue &Value) {
+void ConfigUpdater::onHead(ObjectStatus Status, const ObjectValue &Value) {
   if (Status != ObjectStatus::Ok)
     return;
   HeadVersion = std::max(HeadVersion, Value.Version);
@@ -83,25 +89,25 @@
   tryPublish();
 }
 
-void ConfigKeeper::fetchChunks(const std::vector<std::string> &Missing) {
+void ConfigUpdater::fetchChunks(const std::vector<std::string> &Missing) {
   for (const std::string &Hash : Missing) {
-    if (FetchesOpen >= MaxFetches)
-      return; // Continued as these end.
-    ++FetchesOpen;
+    if (OpenChunkReads >= MaxChunkReads)
+      return; // The rest is read when the open reads have ended.
+    ++OpenChunkReads;
     Platform.read(objects::configChunk(Hash),
                   [this, Hash](ObjectStatus Status, const ObjectValue &Value) {
-                    --FetchesOpen;
+                    --OpenChunkReads;
                     if (Status == ObjectStatus::Ok)
                       Replica.addChunk(Hash, Value.Body);
                     tryPublish();
-                    if (Status == ObjectStatus::Ok && FetchesOpen == 0)
+                    if (Status == ObjectStatus::Ok && OpenChunkReads == 0)
                       fetchChunks(Replica.missing());
                   });
   }
 }
 
-void ConfigKeeper::onPeerReply(const std::string &Peer,
-                               const wire::ConfigReply &Reply) {
+void ConfigUpdater::onPeerReply(const std::string &Peer,
+                                const wire::ConfigReply &Reply) {
   std::vector<std::string> Missing;
   if (!Reply.head().empty())
     Replica.offerHead(Reply.head());
@@ -113,22 +119,22 @@
     return;
   wire::ConfigRequest Request;
   for (const std::string &Hash : Missing) {
-    if (static_cast<size_t>(Request.chunks_size()) >= MaxChunksPerAnswer)
+    if (static_cast<size_t>(Request.chunks_size()) >= MaxChunksPerRequest)
       break;
     Request.add_chunks(Hash);
   }
-  Ask(Peer, Request);
+  SendRequest(Peer, Request);
 }
 
-wire::ConfigReply ConfigKeeper::answer(const wire::ConfigRequest &Request,
-                                       uint64_t TheirGeneration) const {
+wire::ConfigReply ConfigUpdater::answer(const wire::ConfigRequest &Request,
+                                        uint64_t TheirGeneration) const {
   wire::ConfigReply Reply;
   if (Request.chunks_size() == 0 && Replica.generation() > TheirGeneration)
     Reply.set_head(Replica.headText());
   size_t Bytes = 0;
   for (const std::string &Hash : Request.chunks()) {
     const std::string *Data = Replica.chunk(Hash);
-    if (!Data || Bytes >= MaxBytesPerAnswer)
+    if (!Data || Bytes >= MaxBytesPerReply)
       continue;
     Bytes += Data->size();
     wire::ConfigChunk &Chunk = *Reply.add_chunks();
@@ -138,7 +144,7 @@
   return Reply;
 }
 
-void ConfigKeeper::tryPublish() {
+void ConfigUpdater::tryPublish() {
   FindingList Findings;
   const auto Ready = Replica.takeReady(Findings);
   if (!Findings.empty())
--- a/daemon/config_keeper.h
+++ b/daemon/config_keeper.h
@@ -1,10 +1,11 @@
-// Keeps one process's configuration up to date, on the control thread: reads
-// it from the platform at the start, watches it if this process is one of its
-// cell's watchers, and otherwise takes newer generations from other processes.
+// Keeps the configuration of one process up to date, on the control thread:
+// reads it from the platform at the start, watches it if this process is one of
+// its cell's watchers, and otherwise receives newer generations from other
+// processes.
 //
-//   ConfigKeeper K(Io, Client, OnConfig, AskPeer);
-//   K.start();
-//   K.onPeerReply(Reply, Peer);         // from another process
+//   ConfigUpdater Updater(Io, Client, Seed, OnConfig, RequestFromPeer);
+//   Updater.start();
+//   Updater.onPeerReply(Peer, Reply);   // from another process
 #ifndef GOLDCRESTLINK_DAEMON_CONFIG_KEEPER_H
 #define GOLDCRESTLINK_DAEMON_CONFIG_KEEPER_H
 
@@ -19,24 +20,26 @@
 
 namespace goldcrestlink {
 
-/// Not thread-safe: all on the control thread.
-class ConfigKeeper {
+/// Not thread-safe: to be used on the control thread.
+class ConfigUpdater {
 public:
+  /// Called with each new configuration.
   using OnConfig = std::function<void(std::shared_ptr<const Declarations>)>;
-  /// Sends a request to the named peer.
-  using AskPeer =
+  /// Sends a configuration request to the named peer.
+  using RequestFromPeer =
       std::function<void(const std::string &Peer, const wire::ConfigRequest &)>;
 
-  ConfigKeeper(boost::asio::io_context &Io, ObjectClient &Platform,
-               uint64_t Seed, OnConfig Publish, AskPeer Ask);
-  ~ConfigKeeper();
-  /// Reads the head now and from time to time.
+  ConfigUpdater(boost::asio::io_context &Io, ObjectClient &Platform,
+                uint64_t Seed, OnConfig Publish, RequestFromPeer SendRequest);
+  ~ConfigUpdater();
+  /// Reads the configuration's head now and polls it from then on.
   void start();
-  /// Whether this process watches the head for its cell.
+  /// Sets whether this process watches the head for its cell.
   void setWatching(bool On);
-  /// Another process answered.
+  /// Applies the head and chunks that another process sent, and requests the
+  /// missing chunks from it.
   void onPeerReply(const std::string &Peer, const wire::ConfigReply &Reply);
-  /// Answers another process that has \p TheirGeneration.
+  /// The reply to a process that has generation \p TheirGeneration.
   wire::ConfigReply answer(const wire::ConfigRequest &Request,
                            uint64_t TheirGeneration) const;
   const ConfigReplica &replica() const { return Replica; }
@@ -53,11 +56,11 @@
   ObjectClient &Platform;
   Random Rand;
   OnConfig Publish;
-  AskPeer Ask;
+  RequestFromPeer SendRequest;
   ConfigReplica Replica;
   std::unique_ptr<Timers> Timer;
   uint64_t HeadVersion = 0;
-  size_t FetchesOpen = 0;
+  size_t OpenChunkReads = 0;
   bool Watching = false;
   bool WatchOpen = false;
 };
--- a/daemon/decision_log.cc
+++ b/daemon/decision_log.cc
@@ -1,7 +1,8 @@
-// One bounded queue per class between the threads; the rate is a token bucket
-// with one second's burst. A drain empties the kept queue first. Routine lines
-// beyond the bucket are dropped, so that a drain's work is bounded by the rate;
-// kept lines beyond it stay queued for the next drain.
+// One bounded queue per class between the threads. The rate is enforced by a
+// token bucket that holds one second's worth of lines. A drain empties the kept
+// queue first. When the bucket is empty, routine lines are dropped, so that the
+// lines a drain writes are bounded by the rate, and kept lines stay queued for
+// the next drain.
 #include "daemon/decision_log.h"
 
 #include <algorithm>
@@ -12,78 +13,81 @@
 namespace goldcrestlink {
 
 namespace {
-// Several seconds of a process at its busiest; at 300 bytes a line, 6 MB.
+// Per class. Holds several seconds of a process at peak load; 6 MB at 300 bytes
+// a line.
 constexpr int64_t QueueLines = 20000;
-// The allowance that is left when the dropped lines are told of.
-constexpr double ReportCost = 1;
+// Reserved for the line that reports the numbers of dropped lines.
+constexpr double DropReportTokens = 1;
 
-// Lines of several processes are put in order by this.
-std::string stamped(const std::string &Line) {
+// The timestamp allows the logs of several processes to be merged in order.
+std::string withTimestamp(const std::string &Line) {
   const int64_t Ms = unixMillis(presentTime().Wall);
-  char Stamp[40];
-  std::snprintf(Stamp, sizeof(Stamp), "t=%lld.%03d ",
+  char Timestamp[40];
+  std::snprintf(Timestamp, sizeof(Timestamp), "t=%lld.%03d ",
                 static_cast<long long>(Ms / 1000), static_cast<int>(Ms % 1000));
-  return Stamp + Line;
+  return Timestamp + Line;
 }
 
-void writeByGlog(const std::string &Line) { LOG(INFO) << Line; }
+void writeToGlog(const std::string &Line) { LOG(INFO) << Line; }
 } // namespace
 
 DecisionLog::DecisionLog(int64_t LinesPerSecond)
-    : DecisionLog(LinesPerSecond, writeByGlog) {}
+    : DecisionLog(LinesPerSecond, writeToGlog) {}
 
-DecisionLog::DecisionLog(int64_t LinesPerSecond, Sink InOut)
-    : Out(std::move(InOut)), Rate(static_cast<double>(LinesPerSecond)),
-      Allowance(Rate) {
-  for (Queue &Q : Lines)
+DecisionLog::DecisionLog(int64_t LinesPerSecond, Sink InSink)
+    : Out(std::move(InSink)), Rate(static_cast<double>(LinesPerSecond)),
+      Tokens(Rate) {
+  for (Queue &Q : Queues)
     Q.set_capacity(QueueLines);
 }
 
 void DecisionLog::push(LineClass Class, std::string Line) {
-  if (!Lines[index(Class)].try_push(stamped(Line)))
+  if (!Queues[index(Class)].try_push(withTimestamp(Line)))
     Dropped[index(Class)].fetch_add(1, std::memory_order_relaxed);
 }
 
 void DecisionLog::write(const std::string &Line) {
-  Allowance -= 1;
+  Tokens -= 1;
   Out(Line);
 }
 
-void DecisionLog::drain(Time N) {
-  if (Updated != Time{})
-    Allowance = std::min(Rate, Allowance + Rate * seconds(N - Updated));
-  Updated = N;
+void DecisionLog::drain(Time Now) {
+  if (RefilledAt != Time{})
+    Tokens = std::min(Rate, Tokens + Rate * seconds(Now - RefilledAt));
+  RefilledAt = Now;
   std::string Line;
-  while (Allowance >= 1 && Lines[index(LineClass::Kept)].try_pop(Line))
+  while (Tokens >= 1 && Queues[index(LineClass::Kept)].try_pop(Line))
     write(Line);
-  // No more than were there at the start, so that a drain ends.
-  for (auto Left = Lines[index(LineClass::Routine)].size();
-       Left > 0 && Lines[index(LineClass::Routine)].try_pop(Line); --Left) {
-    if (Allowance >= 1 + ReportCost)
+  // Takes at most the lines queued at this point, so that the drain ends even
+  // if other threads keep pushing.
+  for (auto Remaining = Queues[index(LineClass::Routine)].size();
+       Remaining > 0 && Queues[index(LineClass::Routine)].try_pop(Line);
+       --Remaining) {
+    if (Tokens >= 1 + DropReportTokens)
       write(Line);
     else
       Dropped[index(LineClass::Routine)].fetch_add(1,
                                                    std::memory_order_relaxed);
   }
   reportDropped();
-  // A process that is killed loses what its buffer holds.
+  // A killed process would lose the lines in the stdio buffer.
   std::fflush(stdout);
 }
 
 void DecisionLog::reportDropped() {
   const uint64_t Total = dropped(LineClass::Routine) + dropped(LineClass::Kept);
-  if (Total == DroppedReported || Allowance < ReportCost)
+  if (Total == DroppedReported || Tokens < DropReportTokens)
     return;
-  write(stamped(
+  write(withTimestamp(
       "log dropped_routine=" + std::to_string(dropped(LineClass::Routine)) +
       " dropped_kept=" + std::to_string(dropped(LineClass::Kept))));
   DroppedReported = Total;
 }
 
-void DecisionLog::finish(Time N) {
-  drain(N);
+void DecisionLog::finish(Time Now) {
+  drain(Now);
   std::string Line;
-  while (Lines[index(LineClass::Kept)].try_pop(Line))
+  while (Queues[index(LineClass::Kept)].try_pop(Line))
     Out(Line);
   std::fflush(stdout);
 }
--- a/daemon/decision_log.h
+++ b/daemon/decision_log.h
@@ -1,7 +1,7 @@
-// Carries decision lines from traffic threads to the control thread, which
-// writes them by glog at a bounded rate. Under load routine lines are dropped
-// and counted; lines that are to be kept go first, and wait for their turn if
-// there are too many even of them. Traffic never waits for the log.
+// Passes decision lines from traffic threads to the control thread, which
+// writes them with glog at a bounded rate. Beyond that rate, routine lines are
+// dropped and counted, while kept lines are written first and otherwise stay
+// queued for a later drain. Traffic threads never wait for the log.
 //
 //   DecisionLog Log(2000);
 //   Log.push(LineClass::Routine, "send id=...");   // any thread
@@ -25,19 +25,19 @@
 public:
   using Sink = std::function<void(const std::string &)>;
 
-  /// Writes by glog.
+  /// Writes with glog.
   explicit DecisionLog(int64_t LinesPerSecond);
   /// Writes to \p Out, which must not block.
   DecisionLog(int64_t LinesPerSecond, Sink Out);
-  /// Queues a line under the present time of day, or counts it as dropped.
-  /// Never blocks.
+  /// Queues a line, prefixed with the current time of day, or counts it as
+  /// dropped if the queue of its class is full. Never blocks.
   void push(LineClass Class, std::string Line);
-  /// Writes what is queued, within the rate, and how many lines were dropped
-  /// since it last said so.
-  void drain(Time N);
-  /// Writes all kept lines that are queued, whatever the rate; for the end of
-  /// the process.
-  void finish(Time N);
+  /// Writes queued lines within the rate, then the numbers of dropped lines if
+  /// they have grown since they were last written.
+  void drain(Time Now);
+  /// Writes all queued kept lines regardless of the rate; for the end of the
+  /// process.
+  void finish(Time Now);
   uint64_t dropped(LineClass Class) const { return Dropped[index(Class)]; }
 
 private:
@@ -47,12 +47,14 @@
   void reportDropped();
 
   Sink Out;
-  Queue Lines[2];
+  Queue Queues[2];
   std::atomic<uint64_t> Dropped[2] = {0, 0};
   uint64_t DroppedReported = 0;
+  /// Lines per second.
   double Rate;
-  double Allowance;
-  Time Updated{};
+  /// Of the token bucket: lines that may be written now.
+  double Tokens;
+  Time RefilledAt{};
 };
 
 } // namespace goldcrestlink
--- a/daemon/entry_daemon.cc
+++ b/daemon/entry_daemon.cc
@@ -1,6 +1,6 @@
-// The control thread is the calling thread. Everything it does is periodic
-// and bounded: one question per second to one side, one drain of the log and
-// the metrics per DrainInterval. No request waits for it.
+// The control thread is the calling thread. Its work is periodic and bounded:
+// one configuration request per PeerPollInterval to one side, and one drain of
+// the log and the metrics per DrainInterval. No caller's request waits for it.
 #include "daemon/entry_daemon.h"
 
 #include <thread>
@@ -27,57 +27,61 @@
 constexpr Duration DrainInterval = std::chrono::milliseconds(100);
 constexpr Duration PeerPollInterval = std::chrono::seconds(1);
 constexpr Duration ReportInterval = std::chrono::seconds(5);
-// After readiness fails, callers still get served for this long, so that a
+// Callers are still served for this long after readiness fails, so that a load
 // balancer notices first.
 constexpr Duration StopNotice = std::chrono::seconds(1);
-// Time for the last answers to leave once no request is in progress.
+// Time to send the last responses once no request is in progress.
 constexpr Duration StopFlush = std::chrono::milliseconds(200);
 
 class EntryControl {
 public:
-  explicit EntryControl(const Settings &Given)
-      : S(Given), Seed(freshSeed()), Log(S.LogLinesPerSecond),
-        Platform(Io, S.Platform),
-        Keeper(
+  explicit EntryControl(const Settings &InSettings)
+      : ProcessSettings(InSettings), Seed(freshSeed()),
+        Log(ProcessSettings.LogLinesPerSecond),
+        Platform(Io, ProcessSettings.Platform),
+        Updater(
             Io, Platform, Seed,
-            [this](std::shared_ptr<const Declarations> D) { publish(D); },
-            [this](const std::string &Peer, const wire::ConfigRequest &R) {
-              ask(Peer, R);
+            [this](std::shared_ptr<const Declarations> Config) {
+              publish(Config);
+            },
+            [this](const std::string &Peer,
+                   const wire::ConfigRequest &Request) {
+              requestConfig(Peer, Request);
             }),
         Signals(Io, SIGTERM, SIGINT), DrainTimer(Io), PollTimer(Io),
-        Stop(Io, {[this] {
-                    for (auto &Shard : Shards)
-                      Shard->announceStop();
-                  },
-                  [this] {
-                    for (auto &Shard : Shards)
-                      Shard->stopAccepting();
-                  },
-                  [this] { return requestsInProgress(); }}) {}
+        Shutdown(Io, {[this] {
+                        for (auto &Worker : Workers)
+                          Worker->announceStop();
+                      },
+                      [this] {
+                        for (auto &Worker : Workers)
+                          Worker->stopAccepting();
+                      },
+                      [this] { return requestsInProgress(); }}) {}
 
   int run() {
-    makeShards();
-    Keeper.start();
+    startWorkers();
+    Updater.start();
     drainQueues();
     pollPeers();
     Signals.async_wait([this](boost::system::error_code Error, int) {
       if (!Error)
         beginStop();
     });
-    LOG(INFO) << "entry " << S.InstanceName << " listens on "
-              << S.Listen.text();
+    LOG(INFO) << "entry " << ProcessSettings.InstanceName << " listens on "
+              << ProcessSettings.Listen.text();
     Io.run();
-    for (auto &Shard : Shards)
-      Shard->stop();
-    for (std::thread &T : Threads)
-      T.join();
+    for (auto &Worker : Workers)
+      Worker->stop();
+    for (std::thread &WorkerThread : Threads)
+      WorkerThread.join();
     Log.finish(presentTime().Steady);
-    LOG(INFO) << "entry " << S.InstanceName << " stopped";
+    LOG(INFO) << "entry " << ProcessSettings.InstanceName << " stopped";
     return 0;
   }
 
 private:
-  void makeShards() {
+  void startWorkers() {
     EntrySinks Sinks;
     Sinks.Log = [this](LineClass Class, std::string Line) {
       Log.push(Class, std::move(Line));
@@ -85,8 +89,10 @@
     Sinks.Record = [this](entry::RequestRecord R) {
       Metrics.push(std::move(R));
     };
-    Sinks.Control = [this](const std::string &Peer, const wire::Envelope &E) {
-      boost::asio::post(Io, [this, Peer, E] { onControlMessage(Peer, E); });
+    Sinks.Control = [this](const std::string &Peer,
+                           const wire::Envelope &Message) {
+      boost::asio::post(
+          Io, [this, Peer, Message] { onControlMessage(Peer, Message); });
     };
     Sinks.Metrics = [this](std::function<void(std::string)> Done) {
       boost::asio::post(Io, [this, Done] {
@@ -94,48 +100,53 @@
         Done(Metrics.text());
       });
     };
-    for (int64_t I = 0; I < S.TrafficThreads; ++I)
-      Shards.push_back(std::make_unique<EntryShard>(
-          S, static_cast<size_t>(I), mixSeed(I), Context, Sinks));
-    for (auto &Shard : Shards)
-      Threads.emplace_back([&Shard] { Shard->run(); });
+    for (int64_t I = 0; I < ProcessSettings.TrafficThreads; ++I)
+      Workers.push_back(
+          std::make_unique<EntryWorker>(ProcessSettings, static_cast<size_t>(I),
+                                        workerSeed(I), Context, Sinks));
+    for (auto &Worker : Workers)
+      Threads.emplace_back([&Worker] { Worker->run(); });
   }
 
-  uint64_t mixSeed(int64_t Index) const {
+  uint64_t workerSeed(int64_t Index) const {
     return Random(Seed + static_cast<uint64_t>(Index)).next();
   }
 
-  void publish(const std::shared_ptr<const Declarations> &D) {
-    const auto Watchers = cellWatchers(*D, S.Cell);
+  void publish(const std::shared_ptr<const Declarations> &Config) {
+    const auto Watchers = cellWatchers(*Config, ProcessSettings.Cell);
     StatusWriter = Watchers.empty() ? std::string() : Watchers.front()->Name;
-    for (auto &Shard : Shards)
-      Shard->publish(D);
+    for (auto &Worker : Workers)
+      Worker->publish(Config);
   }
 
-  void ask(const std::string &Peer, const wire::ConfigRequest &Request) {
-    wire::Envelope E;
-    E.set_generation(Keeper.replica().generation());
-    *E.mutable_config_request() = Request;
-    Shards.front()->tell(Peer, std::move(E));
+  void requestConfig(const std::string &Peer,
+                     const wire::ConfigRequest &Request) {
+    wire::Envelope Message;
+    Message.set_generation(Updater.replica().generation());
+    *Message.mutable_config_request() = Request;
+    Workers.front()->send(Peer, std::move(Message));
   }
 
-  void onControlMessage(const std::string &Peer, const wire::Envelope &E) {
-    if (E.has_config_reply())
-      return Keeper.onPeerReply(Peer, E.config_reply());
-    if (E.has_membership()) {
-      const std::set<std::string> Leaving(E.membership().leaving().begin(),
-                                          E.membership().leaving().end());
-      const std::set<std::string> Gone(E.membership().gone().begin(),
-                                       E.membership().gone().end());
-      for (auto &Shard : Shards)
-        Shard->setMembership(Leaving, Gone);
+  void onControlMessage(const std::string &Peer,
+                        const wire::Envelope &Message) {
+    if (Message.has_config_reply())
+      return Updater.onPeerReply(Peer, Message.config_reply());
+    if (Message.has_membership()) {
+      const std::set<std::string> Draining(
+          Message.membership().leaving().begin(),
+          Message.membership().leaving().end());
+      const std::set<std::string> Gone(Message.membership().gone().begin(),
+                                       Message.membership().gone().end());
+      for (auto &Worker : Workers)
+        Worker->setMembership(Draining, Gone);
       return;
     }
-    // The peer runs a newer generation.
-    const Time N = presentTime().Steady;
-    if (E.generation() > Keeper.replica().generation() && N >= NextAsk) {
-      NextAsk = N + DrainInterval;
-      ask(Peer, wire::ConfigRequest());
+    // A higher generation means that the peer has a newer configuration.
+    const Time Now = presentTime().Steady;
+    if (Message.generation() > Updater.replica().generation() &&
+        Now >= NextConfigRequest) {
+      NextConfigRequest = Now + DrainInterval;
+      requestConfig(Peer, wire::ConfigRequest());
     }
   }
 
@@ -150,39 +161,40 @@
   }
 
   size_t requestsInProgress() const {
-    size_t Sum = 0;
-    for (const auto &Shard : Shards)
-      Sum += Shard->requestsInProgress();
-    return Sum;
+    size_t Total = 0;
+    for (const auto &Worker : Workers)
+      Total += Worker->requestsInProgress();
+    return Total;
   }
 
   void report() {
     if (StatusWriter.empty())
       return;
-    wire::Envelope E;
-    E.set_generation(Keeper.replica().generation());
-    wire::ProcessReport &R = *E.mutable_report();
-    R.set_name(S.InstanceName);
-    R.set_entry(true);
-    R.set_generation(Keeper.replica().generation());
-    R.set_ready(!Stop.begun());
-    R.set_running(static_cast<uint32_t>(requestsInProgress()));
-    Shards.front()->tell(StatusWriter, std::move(E));
+    wire::Envelope Message;
+    Message.set_generation(Updater.replica().generation());
+    wire::ProcessReport &Report = *Message.mutable_report();
+    Report.set_name(ProcessSettings.InstanceName);
+    Report.set_entry(true);
+    Report.set_generation(Updater.replica().generation());
+    Report.set_ready(!Shutdown.begun());
+    Report.set_running(static_cast<uint32_t>(requestsInProgress()));
+    Workers.front()->send(StatusWriter, std::move(Message));
   }
 
-  // Asks one side per interval for a newer configuration and membership.
+  // Requests a newer configuration and membership from one side per interval,
+  // or from all peers in the settings while no configuration is known.
   void pollPeers() {
-    wire::Envelope E;
-    E.set_generation(Keeper.replica().generation());
-    E.mutable_config_request();
-    if (Keeper.replica().current())
-      Shards.front()->tellAny(E);
+    wire::Envelope Message;
+    Message.set_generation(Updater.replica().generation());
+    Message.mutable_config_request();
+    if (Updater.replica().current())
+      Workers.front()->sendToAny(Message);
     else
-      for (const http::Endpoint &Peer : S.Peers)
-        Shards.front()->tell(Peer.text(), E);
-    const Time N = presentTime().Steady;
-    if (N >= NextReport) {
-      NextReport = N + ReportInterval;
+      for (const http::Endpoint &Peer : ProcessSettings.Peers)
+        Workers.front()->send(Peer.text(), Message);
+    const Time Now = presentTime().Steady;
+    if (Now >= NextReport) {
+      NextReport = Now + ReportInterval;
       report();
     }
     PollTimer.expires_after(PeerPollInterval);
@@ -194,31 +206,35 @@
 
   void beginStop() {
     LOG(INFO) << "stopping: not ready, still serving";
-    Stop.begin(presentTime().Steady,
-               {StopNotice, StopFlush, StopNotice + S.DrainTimeout});
+    Shutdown.begin(
+        presentTime().Steady,
+        {StopNotice, StopFlush, StopNotice + ProcessSettings.DrainTimeout});
   }
 
-  Settings S;
+  Settings ProcessSettings;
   uint64_t Seed;
   boost::asio::io_context Io{1};
   zmq::context_t Context{1};
   DecisionLog Log;
   RequestMetrics Metrics;
   ObjectClient Platform;
-  ConfigKeeper Keeper;
+  ConfigUpdater Updater;
   boost::asio::signal_set Signals;
   boost::asio::steady_timer DrainTimer;
   boost::asio::steady_timer PollTimer;
-  PlannedStop Stop;
-  Time NextAsk{};
+  GracefulShutdown Shutdown;
+  Time NextConfigRequest{};
   Time NextReport{};
+  // The side that writes the cell's status.
   std::string StatusWriter;
-  std::vector<std::unique_ptr<EntryShard>> Shards;
+  std::vector<std::unique_ptr<EntryWorker>> Workers;
   std::vector<std::thread> Threads;
 };
 
 } // namespace
 
-int runEntry(const Settings &S) { return EntryControl(S).run(); }
+int runEntry(const Settings &ProcessSettings) {
+  return EntryControl(ProcessSettings).run();
+}
 
 } // namespace goldcrestlink
--- a/daemon/entry_daemon.h
+++ b/daemon/entry_daemon.h
@@ -1,4 +1,4 @@
-// The entry role: traffic shards, and the control thread that keeps their
+// The entry role: traffic threads, and the control thread that maintains their
 // configuration, membership, log and metrics.
 #ifndef GOLDCRESTLINK_DAEMON_ENTRY_DAEMON_H
 #define GOLDCRESTLINK_DAEMON_ENTRY_DAEMON_H
@@ -9,7 +9,7 @@
 
 /// Serves until SIGTERM or SIGINT, then stops gracefully. Returns the exit
 /// code. Throws std::runtime_error if it cannot start.
-int runEntry(const Settings &S);
+int runEntry(const Settings &ProcessSettings);
 
 } // namespace goldcrestlink
 
--- a/daemon/entry_shard.cc
+++ b/daemon/entry_shard.cc
@@ -1,8 +1,8 @@
-// The shell around EntryMachine: performs its actions and feeds it messages,
-// failures and ticks. Actions that fail at once are fed back only after all
-// actions of a command are performed, so the machine is never re-entered.
-// Streams are bounded by the HTTP server's unsent limit; requests by the
-// machine's.
+// The I/O layer of the entry state machine: performs its actions and passes it
+// messages, failures and timer ticks. Attempts that cannot be sent are passed
+// back only after all actions of an event have been performed, so the state
+// machine is never re-entered. Streams are bounded by the HTTP server's limit
+// on unsent data, requests by the state machine's limit.
 #include "daemon/entry_shard.h"
 
 #include <unordered_map>
@@ -22,90 +22,96 @@
 
 namespace {
 
-constexpr Duration Tick = std::chrono::milliseconds(5);
+constexpr Duration TickInterval = std::chrono::milliseconds(5);
 constexpr const char *JsonType = "application/json";
 
-http::ServerOptions serverOptions(const Settings &S) {
+http::ServerOptions serverOptions(const Settings &ProcessSettings) {
   return http::ServerOptions()
-      .setMaxHeaderBytes(static_cast<size_t>(S.MaxHeaderBytes))
-      .setMaxBodyBytes(static_cast<size_t>(S.MaxBodyBytes))
-      .setMaxConnections(static_cast<size_t>(S.MaxConnections))
-      .setSharePort(S.TrafficThreads > 1);
+      .setMaxHeaderBytes(static_cast<size_t>(ProcessSettings.MaxHeaderBytes))
+      .setMaxBodyBytes(static_cast<size_t>(ProcessSettings.MaxBodyBytes))
+      .setMaxConnections(static_cast<size_t>(ProcessSettings.MaxConnections))
+      .setSharePort(ProcessSettings.TrafficThreads > 1);
 }
 
-entry::EntryMachine::Options machineOptions(const Settings &S) {
+entry::EntryMachine::Options machineOptions(const Settings &ProcessSettings) {
   return entry::EntryMachine::Options()
-      .setMaxRequests(static_cast<size_t>(S.MaxRequestsInProgress))
-      .setStrategy(*findChoiceStrategy(S.Routing));
+      .setMaxRequests(
+          static_cast<size_t>(ProcessSettings.MaxRequestsInProgress))
+      .setStrategy(*findChoiceStrategy(ProcessSettings.Routing));
 }
 
 } // namespace
 
-struct EntryShard::State {
-  State(const Settings &InSettings, size_t Index, uint64_t FromSeed,
+struct EntryWorker::State {
+  State(const Settings &InSettings, size_t Index, uint64_t InSeed,
         zmq::context_t &InContext, EntrySinks InSinks)
-      : S(InSettings), Seed(FromSeed), Context(InContext),
-        Sinks(std::move(InSinks)), Ticker(Io), Guard(Io.get_executor()),
-        Rand(FromSeed ^ Index),
-        Links(Io, Context, S.SourceAddress,
+      : ProcessSettings(InSettings), Seed(InSeed), Context(InContext),
+        Sinks(std::move(InSinks)), TickTimer(Io), WorkGuard(Io.get_executor()),
+        RandomSource(InSeed ^ Index),
+        Sides(Io, Context, ProcessSettings.SourceAddress,
               [this](const std::string &Upstream, wire::Envelope &Message) {
                 onMessage(Upstream, Message);
               }),
-        Listener(Io, S.Listen, serverOptions(S),
-                 [this](http::Request R, std::shared_ptr<http::Responder> A) {
-                   onHttp(std::move(R), std::move(A));
+        Listener(Io, ProcessSettings.Listen, serverOptions(ProcessSettings),
+                 [this](http::Request Request,
+                        std::shared_ptr<http::Responder> Answer) {
+                   onHttp(std::move(Request), std::move(Answer));
                  }) {}
 
-  void onHttp(http::Request R, std::shared_ptr<http::Responder> Answer);
-  void onStatusCall(const http::Request &R, http::Responder &Answer);
-  void onMetricsCall(std::shared_ptr<http::Responder> Answer);
+  void onHttp(http::Request Request, std::shared_ptr<http::Responder> Answer);
+  void onStatusRequest(const http::Request &Request, http::Responder &Answer);
+  void onMetricsRequest(std::shared_ptr<http::Responder> Answer);
   void refuse(http::Responder &Answer, Code Why, const std::string &Id,
               std::string_view Detail);
   void perform(entry::Actions &Out);
-  void perform(entry::SendSide &A);
-  void perform(entry::ResetConnection &A);
-  void perform(entry::DeliverHead &A);
-  void perform(entry::DeliverData &A);
-  void perform(entry::DeliverEnd &A);
-  void perform(entry::DeliverWhole &A);
-  void perform(entry::DeliverError &A);
-  void perform(entry::LogDecision &A) { Sinks.Log(A.Class, std::move(A.Line)); }
-  void perform(entry::RequestRecord &A) { Sinks.Record(std::move(A)); }
+  void perform(entry::SendSide &Action);
+  void perform(entry::ResetConnection &Action);
+  void perform(entry::DeliverHead &Action);
+  void perform(entry::DeliverData &Action);
+  void perform(entry::DeliverEnd &Action);
+  void perform(entry::DeliverWhole &Action);
+  void perform(entry::DeliverError &Action);
+  void perform(entry::LogDecision &Action) {
+    Sinks.Log(Action.Class, std::move(Action.Line));
+  }
+  void perform(entry::RequestRecord &Action) {
+    Sinks.Record(std::move(Action));
+  }
   void onMessage(const std::string &Upstream, wire::Envelope &Message);
   void onConfig(std::shared_ptr<const Declarations> Config);
   void tick();
   std::shared_ptr<http::Responder> takeResponder(const std::string &Id);
 
-  Settings S;
+  Settings ProcessSettings;
   uint64_t Seed;
   zmq::context_t &Context;
   EntrySinks Sinks;
   boost::asio::io_context Io{1};
-  boost::asio::steady_timer Ticker;
+  boost::asio::steady_timer TickTimer;
   boost::asio::executor_work_guard<boost::asio::io_context::executor_type>
-      Guard;
-  Random Rand;
+      WorkGuard;
+  Random RandomSource;
   std::unique_ptr<entry::EntryMachine> Machine;
-  SideLinks Links;
+  SideConnectionPool Sides;
   std::unordered_map<std::string, std::shared_ptr<http::Responder>> Responders;
-  std::vector<std::string> FailedAttempts;
+  std::vector<std::string> FailedAttemptIds;
   uint64_t RequestCounter = 0;
   bool Stopping = false;
   std::atomic<size_t> InProgress{0};
   http::Server Listener;
 };
 
-void EntryShard::State::onStatusCall(const http::Request &R,
-                                     http::Responder &Answer) {
-  if (R.path() == "/healthz")
+void EntryWorker::State::onStatusRequest(const http::Request &Request,
+                                         http::Responder &Answer) {
+  if (Request.path() == "/healthz")
     return Answer.whole(200, {{"Content-Type", "text/plain"}}, "ok\n");
-  if (R.path() == "/readyz") {
+  if (Request.path() == "/readyz") {
     const bool Ready = Machine && !Stopping;
     return Answer.whole(Ready ? 200 : 503, {{"Content-Type", "text/plain"}},
                         Ready ? "ready\n" : "not ready\n");
   }
-  if (R.path() == "/explain" && Machine) {
-    const std::string_view Model = R.query("model");
+  if (Request.path() == "/explain" && Machine) {
+    const std::string_view Model = Request.query("model");
     const size_t At = std::min(Model.find('@'), Model.size());
     return Answer.whole(
         200, {{"Content-Type", "text/plain"}},
@@ -121,7 +127,8 @@
   Answer.whole(200, {{"Content-Type", "text/plain"}}, Text);
 }
 
-void EntryShard::State::onMetricsCall(std::shared_ptr<http::Responder> Answer) {
+void EntryWorker::State::onMetricsRequest(
+    std::shared_ptr<http::Responder> Answer) {
   Sinks.Metrics([this, Answer](std::string Text) {
     boost::asio::post(Io, [Answer, Text = std::move(Text)] {
       Answer->whole(200, {{"Content-Type", "text/plain; version=0.0.4"}}, Text);
@@ -129,27 +136,28 @@
   });
 }
 
-void EntryShard::State::refuse(http::Responder &Answer, Code Why,
-                               const std::string &Id, std::string_view Detail) {
+void EntryWorker::State::refuse(http::Responder &Answer, Code Why,
+                                const std::string &Id,
+                                std::string_view Detail) {
   Answer.whole(httpStatus(Why), {{"Content-Type", JsonType}},
                entry::errorBody(Why, Outcome::NotRun, Id, Detail));
 }
 
-void EntryShard::State::onHttp(http::Request R,
-                               std::shared_ptr<http::Responder> Answer) {
-  const std::string_view Path = R.path();
+void EntryWorker::State::onHttp(http::Request Request,
+                                std::shared_ptr<http::Responder> Answer) {
+  const std::string_view Path = Request.path();
   if (Path == "/healthz" || Path == "/readyz" || Path == "/status" ||
       Path == "/explain")
-    return onStatusCall(R, *Answer);
+    return onStatusRequest(Request, *Answer);
   if (Path == "/metrics")
-    return onMetricsCall(std::move(Answer));
+    return onMetricsRequest(std::move(Answer));
   char Id[40];
   std::snprintf(Id, sizeof(Id), "r%016llx-%llx",
                 static_cast<unsigned long long>(Seed),
                 static_cast<unsigned long long>(++RequestCounter));
   if (!Machine)
     return refuse(*Answer, Code::NotConfigured, Id, "no configuration yet");
-  auto Parsed = entry::parseCallerRequest(std::move(R), Id);
+  auto Parsed = entry::parseCallerRequest(std::move(Request), Id);
   if (!Parsed.Problem.empty())
     return refuse(*Answer, Code::BadRequest, Id, Parsed.Problem);
   Responders.emplace(Id, Answer);
@@ -165,40 +173,40 @@
   perform(Out);
 }
 
-void EntryShard::State::perform(entry::Actions &Out) {
-  for (entry::Action &A : Out)
-    std::visit([this](auto &One) { perform(One); }, A);
-  while (!FailedAttempts.empty()) {
-    const std::vector<std::string> Failed = std::move(FailedAttempts);
-    FailedAttempts.clear();
-    for (const std::string &Id : Failed) {
-      entry::Actions More;
-      Machine->onSendFailed(presentTime(), Id, More);
-      for (entry::Action &A : More)
-        std::visit([this](auto &One) { perform(One); }, A);
+void EntryWorker::State::perform(entry::Actions &Out) {
+  for (entry::Action &Action : Out)
+    std::visit([this](auto &One) { perform(One); }, Action);
+  while (!FailedAttemptIds.empty()) {
+    const std::vector<std::string> FailedIds = std::move(FailedAttemptIds);
+    FailedAttemptIds.clear();
+    for (const std::string &Id : FailedIds) {
+      entry::Actions FurtherActions;
+      Machine->onSendFailed(presentTime(), Id, FurtherActions);
+      for (entry::Action &Action : FurtherActions)
+        std::visit([this](auto &One) { perform(One); }, Action);
     }
   }
   InProgress = Machine->requestsInProgress();
 }
 
-void EntryShard::State::perform(entry::SendSide &A) {
-  SideLink *L = Links.find(A.Upstream);
-  if (!A.Message.has_attempt()) {
-    if (L)
-      L->sendSoon(A.Message);
+void EntryWorker::State::perform(entry::SendSide &Action) {
+  SideConnection *Side = Sides.find(Action.Upstream);
+  if (!Action.Message.has_attempt()) {
+    if (Side)
+      Side->sendOrQueue(Action.Message);
     return;
   }
-  if (!L || !L->sendNow(A.Message))
-    FailedAttempts.push_back(A.Message.attempt().attempt_id());
+  if (!Side || !Side->trySend(Action.Message))
+    FailedAttemptIds.push_back(Action.Message.attempt().attempt_id());
 }
 
-void EntryShard::State::perform(entry::ResetConnection &A) {
-  if (SideLink *L = Links.find(A.Upstream))
-    L->reset();
+void EntryWorker::State::perform(entry::ResetConnection &Action) {
+  if (SideConnection *Side = Sides.find(Action.Upstream))
+    Side->reset();
 }
 
 std::shared_ptr<http::Responder>
-EntryShard::State::takeResponder(const std::string &Id) {
+EntryWorker::State::takeResponder(const std::string &Id) {
   const auto It = Responders.find(Id);
   if (It == Responders.end())
     return nullptr;
@@ -207,51 +215,53 @@
   return Out;
 }
 
-void EntryShard::State::perform(entry::DeliverHead &A) {
-  const auto It = Responders.find(A.RequestId);
+void EntryWorker::State::perform(entry::DeliverHead &Action) {
+  const auto It = Responders.find(Action.RequestId);
   if (It != Responders.end())
-    It->second->begin(A.Status, {{"Content-Type", A.ContentType},
-                                 {"X-Request-Id", A.RequestId}});
+    It->second->begin(Action.Status, {{"Content-Type", Action.ContentType},
+                                      {"X-Request-Id", Action.RequestId}});
 }
 
-void EntryShard::State::perform(entry::DeliverData &A) {
-  const auto It = Responders.find(A.RequestId);
+void EntryWorker::State::perform(entry::DeliverData &Action) {
+  const auto It = Responders.find(Action.RequestId);
   if (It != Responders.end())
-    It->second->data(std::move(A.Bytes));
+    It->second->data(std::move(Action.Bytes));
 }
 
-void EntryShard::State::perform(entry::DeliverEnd &A) {
-  if (auto R = takeResponder(A.RequestId))
-    R->end();
+void EntryWorker::State::perform(entry::DeliverEnd &Action) {
+  if (auto Answer = takeResponder(Action.RequestId))
+    Answer->end();
 }
 
-void EntryShard::State::perform(entry::DeliverWhole &A) {
-  if (auto R = takeResponder(A.RequestId))
-    R->whole(A.Status,
-             {{"Content-Type", A.ContentType}, {"X-Request-Id", A.RequestId}},
-             std::move(A.Body));
+void EntryWorker::State::perform(entry::DeliverWhole &Action) {
+  if (auto Answer = takeResponder(Action.RequestId))
+    Answer->whole(Action.Status,
+                  {{"Content-Type", Action.ContentType},
+                   {"X-Request-Id", Action.RequestId}},
+                  std::move(Action.Body));
 }
 
-void EntryShard::State::perform(entry::DeliverError &A) {
-  auto R = takeResponder(A.RequestId);
-  if (!R)
+void EntryWorker::State::perform(entry::DeliverError &Action) {
+  auto Answer = takeResponder(Action.RequestId);
+  if (!Answer)
     return;
-  const std::string Body = entry::errorBody(A.Why, A.Known, A.RequestId, {});
-  if (A.InStream) {
-    R->data("data: " + Body + "\n\n");
-    return R->abort();
+  const std::string Body =
+      entry::errorBody(Action.Why, Action.Known, Action.RequestId, {});
+  if (Action.InStream) {
+    Answer->data("data: " + Body + "\n\n");
+    return Answer->abort();
   }
   const auto RetrySeconds =
-      std::max<int64_t>(1, A.RetryAfter.count() / 1000000);
-  R->whole(httpStatus(A.Why),
-           {{"Content-Type", JsonType},
-            {"X-Request-Id", A.RequestId},
-            {"Retry-After", std::to_string(RetrySeconds)}},
-           Body);
+      std::max<int64_t>(1, Action.RetryAfter.count() / 1000000);
+  Answer->whole(httpStatus(Action.Why),
+                {{"Content-Type", JsonType},
+                 {"X-Request-Id", Action.RequestId},
+                 {"Retry-After", std::to_string(RetrySeconds)}},
+                Body);
 }
 
-void EntryShard::State::onMessage(const std::string &Upstream,
-                                  wire::Envelope &Message) {
+void EntryWorker::State::onMessage(const std::string &Upstream,
+                                   wire::Envelope &Message) {
   const bool ForControl =
       Message.has_config_reply() || Message.has_membership() ||
       (Machine && Message.generation() > Machine->generation());
@@ -264,84 +274,85 @@
   perform(Out);
 }
 
-void EntryShard::State::onConfig(std::shared_ptr<const Declarations> Config) {
+void EntryWorker::State::onConfig(std::shared_ptr<const Declarations> Config) {
   if (Machine)
     Machine->onConfig(Config);
   else
-    Machine = std::make_unique<entry::EntryMachine>(machineOptions(S), Config,
-                                                    S.Cell, Seed);
-  Links.onConfig(Config);
+    Machine = std::make_unique<entry::EntryMachine>(
+        machineOptions(ProcessSettings), Config, ProcessSettings.Cell, Seed);
+  Sides.onConfig(Config);
   // Connections are opened ahead of the first request.
   for (const UpstreamDecl &U : Config->upstreams())
-    if (U.Cell == S.Cell)
-      Links.find(U.Name);
+    if (U.Cell == ProcessSettings.Cell)
+      Sides.find(U.Name);
 }
 
-void EntryShard::State::tick() {
-  Links.flush();
+void EntryWorker::State::tick() {
+  Sides.flush();
   if (Machine) {
     entry::Actions Out;
     Machine->onTimer(presentTime(), Out);
     perform(Out);
   }
-  Ticker.expires_after(Tick);
-  Ticker.async_wait([this](boost::system::error_code Error) {
+  TickTimer.expires_after(TickInterval);
+  TickTimer.async_wait([this](boost::system::error_code Error) {
     if (!Error)
       tick();
   });
 }
 
-EntryShard::EntryShard(const Settings &S, size_t Index, uint64_t Seed,
-                       zmq::context_t &Context, EntrySinks Sinks)
-    : Shell(
-          std::make_unique<State>(S, Index, Seed, Context, std::move(Sinks))) {}
+EntryWorker::EntryWorker(const Settings &ProcessSettings, size_t Index,
+                         uint64_t Seed, zmq::context_t &Context,
+                         EntrySinks Sinks)
+    : Impl(std::make_unique<State>(ProcessSettings, Index, Seed, Context,
+                                   std::move(Sinks))) {}
 
-EntryShard::~EntryShard() = default;
+EntryWorker::~EntryWorker() = default;
 
-void EntryShard::run() {
-  Shell->tick();
-  Shell->Io.run();
+void EntryWorker::run() {
+  Impl->tick();
+  Impl->Io.run();
 }
 
-void EntryShard::stop() { Shell->Io.stop(); }
+void EntryWorker::stop() { Impl->Io.stop(); }
 
-void EntryShard::publish(std::shared_ptr<const Declarations> Config) {
-  boost::asio::post(Shell->Io, [this, Config] { Shell->onConfig(Config); });
+void EntryWorker::publish(std::shared_ptr<const Declarations> Config) {
+  boost::asio::post(Impl->Io, [this, Config] { Impl->onConfig(Config); });
 }
 
-void EntryShard::setMembership(std::set<std::string> Leaving,
-                               std::set<std::string> Gone) {
-  boost::asio::post(Shell->Io, [this, Leaving, Gone] {
-    if (Shell->Machine)
-      Shell->Machine->onMembership(Leaving, Gone);
+void EntryWorker::setMembership(std::set<std::string> Draining,
+                                std::set<std::string> Gone) {
+  boost::asio::post(Impl->Io, [this, Draining, Gone] {
+    if (Impl->Machine)
+      Impl->Machine->onMembership(Draining, Gone);
   });
 }
 
-void EntryShard::tell(std::string Peer, wire::Envelope Message) {
-  boost::asio::post(Shell->Io, [this, Peer, Message]() mutable {
-    if (SideLink *L = Shell->Links.find(Peer))
-      L->sendSoon(Message);
+void EntryWorker::send(std::string Peer, wire::Envelope Message) {
+  boost::asio::post(Impl->Io, [this, Peer, Message]() mutable {
+    if (SideConnection *Side = Impl->Sides.find(Peer))
+      Side->sendOrQueue(Message);
   });
 }
 
-void EntryShard::tellAny(wire::Envelope Message) {
-  boost::asio::post(Shell->Io, [this, Message]() mutable {
-    if (SideLink *L = Shell->Links.any(Shell->Rand))
-      L->sendSoon(Message);
+void EntryWorker::sendToAny(wire::Envelope Message) {
+  boost::asio::post(Impl->Io, [this, Message]() mutable {
+    if (SideConnection *Side = Impl->Sides.any(Impl->RandomSource))
+      Side->sendOrQueue(Message);
   });
 }
 
-void EntryShard::announceStop() {
-  boost::asio::post(Shell->Io, [this] {
-    Shell->Stopping = true;
-    Shell->Listener.announceClose();
+void EntryWorker::announceStop() {
+  boost::asio::post(Impl->Io, [this] {
+    Impl->Stopping = true;
+    Impl->Listener.announceClose();
   });
 }
 
-void EntryShard::stopAccepting() {
-  boost::asio::post(Shell->Io, [this] { Shell->Listener.stopAccepting(); });
+void EntryWorker::stopAccepting() {
+  boost::asio::post(Impl->Io, [this] { Impl->Listener.stopAccepting(); });
 }
 
-size_t EntryShard::requestsInProgress() const { return Shell->InProgress; }
+size_t EntryWorker::requestsInProgress() const { return Impl->InProgress; }
 
 } // namespace goldcrestlink
--- a/daemon/entry_shard.h
+++ b/daemon/entry_shard.h
@@ -1,9 +1,10 @@
 // One traffic thread of an entry: an HTTP listener, connections to the sides,
-// and an EntryMachine that decides. Shards share nothing but the port.
+// and the entry state machine that takes the decisions. The workers of a
+// process share only the listening port.
 //
-//   EntryShard S(Settings, 0, Context, Sinks);
-//   std::thread T([&] { S.run(); });
-//   S.publish(Declarations);            // any thread
+//   EntryWorker Worker(Settings, 0, Seed, Context, Sinks);
+//   std::thread Thread([&] { Worker.run(); });
+//   Worker.publish(Declarations);       // any thread
 #ifndef GOLDCRESTLINK_DAEMON_ENTRY_SHARD_H
 #define GOLDCRESTLINK_DAEMON_ENTRY_SHARD_H
 
@@ -24,41 +25,43 @@
 
 namespace goldcrestlink {
 
-/// Where a shard hands things to the control thread. All are thread-safe.
+/// Where a worker sends its output for the control thread. All are thread-safe.
 struct EntrySinks {
   std::function<void(LineClass, std::string)> Log;
   std::function<void(entry::RequestRecord)> Record;
   std::function<void(const std::string &Peer, const wire::Envelope &)> Control;
-  /// Text of the metrics page; called back on any thread.
+  /// Requests the text of the metrics page; the callback may run on any thread.
   std::function<void(std::function<void(std::string)>)> Metrics;
 };
 
 /// run() belongs to one thread; the other methods are thread-safe.
-class EntryShard {
+class EntryWorker {
 public:
-  /// Binds the listener. \p Index tells shards of a process apart. Throws
-  /// std::runtime_error if the address is taken.
-  EntryShard(const Settings &S, size_t Index, uint64_t Seed,
-             zmq::context_t &Context, EntrySinks Sinks);
-  ~EntryShard();
-  /// Serves until stopped.
+  /// Binds the listener. \p Index distinguishes the workers of a process.
+  /// Throws std::runtime_error if the address is in use.
+  EntryWorker(const Settings &ProcessSettings, size_t Index, uint64_t Seed,
+              zmq::context_t &Context, EntrySinks Sinks);
+  ~EntryWorker();
+  /// Serves until stop().
   void run();
   void stop();
   void publish(std::shared_ptr<const Declarations> Config);
-  void setMembership(std::set<std::string> Leaving, std::set<std::string> Gone);
+  /// Sets the upstreams that are draining and those that have been removed.
+  void setMembership(std::set<std::string> Draining,
+                     std::set<std::string> Gone);
   /// Sends to a side, by upstream name or "ip:port".
-  void tell(std::string Peer, wire::Envelope Message);
+  void send(std::string Peer, wire::Envelope Message);
   /// Sends to some side of the cell.
-  void tellAny(wire::Envelope Message);
-  /// First step of a graceful stop: not ready, but still serving.
+  void sendToAny(wire::Envelope Message);
+  /// First step of a graceful shutdown: reports not ready, but still serves.
   void announceStop();
-  /// Second step: accept nothing more.
+  /// Second step: accepts no new connections.
   void stopAccepting();
   size_t requestsInProgress() const;
 
 private:
   struct State;
-  std::unique_ptr<State> Shell;
+  std::unique_ptr<State> Impl;
 };
 
 } // namespace goldcrestlink
--- a/daemon/entry_traffic.cc
+++ b/daemon/entry_traffic.cc
@@ -1,6 +1,7 @@
-// One thread runs everything here, so the Forwarder needs no locks. Links to
-// sides are opened on first use at the address of the engine that they stand
-// beside, since side and engine share an instance.
+// Everything here runs on one thread, so the Forwarder needs no locks. A side
+// is connected to on first use, at the address of its engine, since the two
+// share an instance. Connections to engines that a new catalog does not list
+// are closed.
 #include "daemon/entry_traffic.h"
 
 #include <atomic>
@@ -26,21 +27,24 @@
 
 namespace {
 constexpr Duration TickInterval = std::chrono::milliseconds(10);
-// A link on which an ask was not answered is opened anew, at most this often.
-constexpr Duration LinkResetPause = std::chrono::milliseconds(500);
-// Bounds the wait for a connection to an upstream; one network delay is a few
-// milliseconds, and a dark instance answers nothing.
+// A connection on which an admission request was not answered is reopened, at
+// most this often.
+constexpr Duration MinResetInterval = std::chrono::milliseconds(500);
+// For connecting to an upstream. The network delay is a few milliseconds, and
+// an instance that is down does not answer at all.
 constexpr Duration ConnectTimeout = std::chrono::milliseconds(300);
-// Without an announced time, kept connections to upstreams are used this long.
-constexpr Duration KeptConnectionAge = std::chrono::milliseconds(1500);
-// The entries that share a fleet's load are those a side has heard of; until
-// one says so, this many are assumed.
-constexpr size_t AssumedEntries = 4;
-// Silence of an upstream ends a call only with the call's own deadline.
+// Connections to upstreams that were idle for longer are not reused. A shorter
+// time that the upstream announced takes precedence.
+constexpr Duration MaxIdleConnectionAge = std::chrono::milliseconds(1500);
+// Number of entries that are assumed to share the load until a side reports how
+// many it has received messages from.
+constexpr size_t InitialEntryCount = 4;
+// Long enough that a call to a silent upstream is ended by its own deadline.
 constexpr Duration SilenceTimeout = std::chrono::minutes(10);
 
-// Digests go to every side in this interval, and at once after a change.
+// Digests are sent to every side at this interval, and at once after a change.
 constexpr Duration DigestInterval = std::chrono::seconds(1);
+
 struct OpenCall {
   std::shared_ptr<http::Responder> Answer;
 };
@@ -53,165 +57,174 @@
 } // namespace
 
 struct EntryTraffic::State : forward::ForwardPort {
-  State(const Settings &Given, uint64_t Seed, TrafficSinks InSinks)
-      : S(Given), Sinks(std::move(InSinks)),
-        Callers(Io, S.Listen, serverOptions(CallerLimits()),
-                [this](http::Request R, std::shared_ptr<http::Responder> A) {
-                  onCaller(std::move(R), std::move(A));
-                }),
-        Readiness(Io, S.Fleet.ReadyListen, http::ServerOptions(),
-                  [this](http::Request R, std::shared_ptr<http::Responder> A) {
-                    onReadiness(R, *A);
-                  }),
-        Upstreams(Io), Tick(Io),
-        Peers(Io, Context,
-              S.Fleet.Address + ":" + std::to_string(S.Fleet.LinkPort),
-              [this](const std::string &Peer, wire::Envelope &Message) {
-                onPeerMessage(Peer, Message);
-              }),
-        Decisions(forward::Forwarder::Options()
-                      .setDataCentre(S.DataCenter)
-                      .setAllowance(forward::RetryAllowance::Options()
-                                        .setRatio(S.Fleet.RetryRatio)
-                                        .setSlack(S.Fleet.RetrySlack)
-                                        .setWindow(S.Fleet.RetryWindow)),
+  State(const Settings &InSettings, uint64_t Seed, TrafficSinks InSinks)
+      : ProcessSettings(InSettings), Sinks(std::move(InSinks)),
+        CallerServer(Io, ProcessSettings.Listen, serverOptions(CallerLimits()),
+                     [this](http::Request Request,
+                            std::shared_ptr<http::Responder> Answer) {
+                       onCaller(std::move(Request), std::move(Answer));
+                     }),
+        ReadinessServer(Io, ProcessSettings.Fleet.ReadyListen,
+                        http::ServerOptions(),
+                        [this](http::Request Request,
+                               std::shared_ptr<http::Responder> Answer) {
+                          onReadiness(Request, *Answer);
+                        }),
+        UpstreamClient(Io), TickTimer(Io),
+        PeerSocket(Io, Context,
+                   ProcessSettings.Fleet.Address + ":" +
+                       std::to_string(ProcessSettings.Fleet.LinkPort),
+                   [this](const std::string &Peer, wire::Envelope &Message) {
+                     onPeerMessage(Peer, Message);
+                   }),
+        Forwarder(forward::Forwarder::Options()
+                      .setDataCentre(ProcessSettings.DataCenter)
+                      .setAllowance(
+                          forward::RetryAllowance::Options()
+                              .setRatio(ProcessSettings.Fleet.RetryRatio)
+                              .setSlack(ProcessSettings.Fleet.RetrySlack)
+                              .setWindow(ProcessSettings.Fleet.RetryWindow)),
                   *this, Seed) {
-    Decisions.onEntries(AssumedEntries);
+    Forwarder.onEntries(InitialEntryCount);
     tick();
   }
 
-  http::ServerOptions serverOptions(const CallerLimits &L) const {
+  http::ServerOptions serverOptions(const CallerLimits &Limits) const {
     return http::ServerOptions()
-        .setMaxHeaderBytes(L.HeaderBytes)
-        .setMaxBodyBytes(L.BodyBytes)
-        .setHeaderTimeout(L.HeaderTime)
-        .setIdleTimeout(L.IdleTime)
-        .setMaxConnections(static_cast<size_t>(S.MaxConnections));
+        .setMaxHeaderBytes(Limits.HeaderBytes)
+        .setMaxBodyBytes(Limits.BodyBytes)
+        .setHeaderTimeout(Limits.HeaderTime)
+        .setIdleTimeout(Limits.IdleTime)
+        .setMaxConnections(static_cast<size_t>(ProcessSettings.MaxConnections));
   }
 
   static Time now() { return presentTime().Steady; }
 
   // Callers.
 
-  void onCaller(http::Request R, std::shared_ptr<http::Responder> A) {
-    const uint64_t Id = ++LastCall;
-    A->onGone([this, Id] {
-      if (Open.erase(Id) > 0) {
-        Decisions.onCallerGone(now(), Id);
-        InProgress = Open.size();
+  void onCaller(http::Request Request,
+                std::shared_ptr<http::Responder> Answer) {
+    const uint64_t Id = ++LastCallId;
+    Answer->onGone([this, Id] {
+      if (OpenCalls.erase(Id) > 0) {
+        Forwarder.onCallerGone(now(), Id);
+        CallCount = OpenCalls.size();
       }
     });
-    Open[Id] = {std::move(A)};
-    InProgress = Open.size();
-    Decisions.onCall(now(), Id, platform::decodeCall(std::move(R)));
+    OpenCalls[Id] = {std::move(Answer)};
+    CallCount = OpenCalls.size();
+    Forwarder.onCall(now(), Id, platform::decodeCall(std::move(Request)));
   }
 
-  void onReadiness(const http::Request &R, http::Responder &A) const {
-    if (!platform::isReadinessQuestion(R))
-      return A.whole(404, {}, "");
-    A.whole(!Stopping && Decisions.hasConfig() ? 200 : 503, {}, "");
+  void onReadiness(const http::Request &Request,
+                   http::Responder &Answer) const {
+    if (!platform::isReadinessQuestion(Request))
+      return Answer.whole(404, {}, "");
+    Answer.whole(!Stopping && Forwarder.hasConfig() ? 200 : 503, {}, "");
   }
 
   // ForwardPort.
 
-  void ask(const UpstreamRecord &Of, const AdmissionAsk &A) override {
-    Link &L = linkTo(Of);
-    wire::Envelope E = encodeAsk(A);
-    L.Socket->sendSoon(E);
+  void ask(const UpstreamRecord &Upstream,
+           const AdmissionAsk &Request) override {
+    Side &Engine = sideOf(Upstream);
+    wire::Envelope E = encodeAdmissionRequest(Request);
+    Engine.Connection->sendOrQueue(E);
   }
 
-  void endAsk(const UpstreamRecord &Of, uint64_t AskId,
+  void endAsk(const UpstreamRecord &Upstream, uint64_t RequestId,
               Duration FirstToken) override {
-    wire::Envelope E = encodeEnd(AskId, FirstToken);
-    linkTo(Of).Socket->sendSoon(E);
+    wire::Envelope E = encodeEnd(RequestId, FirstToken);
+    sideOf(Upstream).Connection->sendOrQueue(E);
   }
 
-  void send(forward::SendId Id, const forward::CallerCall &C,
-            const forward::SendTerms &T) override {
+  void send(forward::SendId Id, const forward::CallerCall &Call,
+            const forward::SendTerms &Terms) override {
     http::CallOptions Options;
     Options.setConnectTimeout(ConnectTimeout)
         .setSilenceTimeout(SilenceTimeout)
-        .setMaxIdleAge(KeptConnectionAge)
+        .setMaxIdleAge(MaxIdleConnectionAge)
         .setRepeatReads(false);
     http::CallHandlers On;
     On.OnHead = [this, Id,
-                 RequestId = C.RequestId](const http::ResponseHead &Head) {
-      Decisions.onHead(now(), Id, platform::decodeAnswer(Head, RequestId));
+                 RequestId = Call.RequestId](const http::ResponseHead &Head) {
+      Forwarder.onHead(now(), Id, platform::decodeAnswer(Head, RequestId));
     };
     On.OnData = [this, Id](std::string Part) {
-      Decisions.onData(now(), Id, std::move(Part));
+      Forwarder.onData(now(), Id, std::move(Part));
     };
     On.OnDone = [this, Id] {
-      closeSend(Id);
-      Decisions.onDone(now(), Id);
+      eraseSend(Id);
+      Forwarder.onDone(now(), Id);
     };
-    On.OnError = [this, Id](http::CallError E, const std::string &Why) {
-      closeSend(Id);
-      Decisions.onError(now(), Id,
-                        E == http::CallError::NotSent
+    On.OnError = [this, Id](http::CallError Error, const std::string &Why) {
+      eraseSend(Id);
+      Forwarder.onError(now(), Id,
+                        Error == http::CallError::NotSent
                             ? forward::SendError::NotSent
                             : forward::SendError::Broken,
                         Why);
     };
     Metrics.count("sends_total");
-    Sends[Id.Call] = {Id.Number,
-                      Upstreams.start(T.To.Address, platform::encodeCall(C, T),
-                                      Options, std::move(On))};
+    OpenSends[Id.Call] = {
+        Id.Number, UpstreamClient.start(Terms.To.Address,
+                                        platform::encodeCall(Call, Terms),
+                                        Options, std::move(On))};
   }
 
   void cancelSend(forward::SendId Id) override {
-    const auto It = Sends.find(Id.Call);
-    if (It == Sends.end() || It->second.Number != Id.Number)
+    const auto It = OpenSends.find(Id.Call);
+    if (It == OpenSends.end() || It->second.Number != Id.Number)
       return;
     It->second.Call->cancel();
-    Sends.erase(It);
+    OpenSends.erase(It);
   }
 
-  void closeSend(forward::SendId Id) {
-    const auto It = Sends.find(Id.Call);
-    if (It != Sends.end() && It->second.Number == Id.Number)
-      Sends.erase(It);
+  void eraseSend(forward::SendId Id) {
+    const auto It = OpenSends.find(Id.Call);
+    if (It != OpenSends.end() && It->second.Number == Id.Number)
+      OpenSends.erase(It);
   }
 
-  std::shared_ptr<http::Responder> answerOf(uint64_t Call, bool Ends) {
-    const auto It = Open.find(Call);
-    if (It == Open.end())
+  std::shared_ptr<http::Responder> responderOf(uint64_t Call, bool IsLast) {
+    const auto It = OpenCalls.find(Call);
+    if (It == OpenCalls.end())
       return nullptr;
     auto Answer = It->second.Answer;
-    if (Ends) {
-      Open.erase(It);
-      InProgress = Open.size();
+    if (IsLast) {
+      OpenCalls.erase(It);
+      CallCount = OpenCalls.size();
     }
     return Answer;
   }
 
   void answerWhole(uint64_t Call, unsigned Status, const http::Headers &Fields,
                    std::string Body) override {
-    if (auto A = answerOf(Call, true))
-      A->whole(Status, Fields, std::move(Body));
+    if (auto Answer = responderOf(Call, true))
+      Answer->whole(Status, Fields, std::move(Body));
   }
   void answerBegin(uint64_t Call, unsigned Status,
                    const http::Headers &Fields) override {
-    if (auto A = answerOf(Call, false))
-      A->begin(Status, Fields);
+    if (auto Answer = responderOf(Call, false))
+      Answer->begin(Status, Fields);
   }
   void answerData(uint64_t Call, std::string Part) override {
-    if (auto A = answerOf(Call, false))
-      A->data(std::move(Part));
+    if (auto Answer = responderOf(Call, false))
+      Answer->data(std::move(Part));
   }
   void answerEnd(uint64_t Call) override {
-    if (auto A = answerOf(Call, true))
-      A->end();
+    if (auto Answer = responderOf(Call, true))
+      Answer->end();
   }
   void answerAbort(uint64_t Call) override {
-    if (auto A = answerOf(Call, true))
-      A->abort();
+    if (auto Answer = responderOf(Call, true))
+      Answer->abort();
   }
   void answerOwn(uint64_t Call, unsigned Status, std::string_view RequestId,
                  Duration RetryAfter, forward::EndReason Why) override {
-    if (auto A = answerOf(Call, true))
-      A->whole(Status, platform::ownAnswerFields(RequestId, RetryAfter),
-               std::string(forward::wordOf(Why)) + "\n");
+    if (auto Answer = responderOf(Call, true))
+      Answer->whole(Status, platform::ownAnswerFields(RequestId, RetryAfter),
+                    std::string(forward::wordOf(Why)) + "\n");
   }
 
   void log(LineClass Class, std::string Line) override {
@@ -225,220 +238,226 @@
 
   // Sides.
 
-  struct Link {
+  struct Side {
     std::string UpstreamId;
-    std::unique_ptr<SideLink> Socket;
+    std::unique_ptr<SideConnection> Connection;
     Time ResetAt{};
   };
 
-  Link &linkTo(const UpstreamRecord &U) {
-    const std::string Address =
-        U.Address.Address + ":" + std::to_string(S.Fleet.LinkPort);
-    Link &L = Links[Address];
-    if (!L.Socket)
-      L.Socket = std::make_unique<SideLink>(
+  // Connects to the side if it is not connected.
+  Side &sideOf(const UpstreamRecord &U) {
+    const std::string Address = U.Address.Address + ":" +
+                                std::to_string(ProcessSettings.Fleet.LinkPort);
+    Side &Found = Sides[Address];
+    if (!Found.Connection)
+      Found.Connection = std::make_unique<SideConnection>(
           Io, Context, Address, "", [this, Address](wire::Envelope &Message) {
             onSideMessage(Address, Message);
           });
-    L.UpstreamId = U.Id;
-    return L;
+    Found.UpstreamId = U.Id;
+    return Found;
   }
 
-  // A peer that has nothing to go by asks for all; others are sides.
+  // Requests of other entries that know no configuration yet. All other catalog
+  // messages are exchanged with sides.
   void onPeerMessage(const std::string &Peer, wire::Envelope &Message) {
-    if (!Message.has_belief_request() || !Known)
+    if (!Message.has_belief_request() || !KnownCatalog)
       return;
-    wire::Envelope E = beliefsFor(Message.belief_request(), *Known);
-    if (!Peers.send(Peer, E))
+    wire::Envelope E =
+        catalogUpdateFor(Message.belief_request(), *KnownCatalog);
+    if (!PeerSocket.send(Peer, E))
       Sinks.Log(LineClass::Routine, "beliefs outcome=peer_gone");
   }
 
-  bool onBeliefMessage(SideLink &From, wire::Envelope &Message) {
+  bool onCatalogMessage(SideConnection &From, wire::Envelope &Message) {
     if (Message.has_digest()) {
-      if (auto E = Exchange.askFor(now(), decodeRevisions(Message.digest()),
-                                   ownRevisions()))
-        From.sendSoon(*E);
+      if (auto E = Exchange.requestMissing(
+              now(), decodeRevisions(Message.digest()), ownRevisions()))
+        From.sendOrQueue(*E);
       return true;
     }
     if (Message.has_belief_request()) {
-      if (!Known)
+      if (!KnownCatalog)
         return true;
-      wire::Envelope E = beliefsFor(Message.belief_request(), *Known);
-      From.sendSoon(E);
+      wire::Envelope E =
+          catalogUpdateFor(Message.belief_request(), *KnownCatalog);
+      From.sendOrQueue(E);
       return true;
     }
     if (Message.has_beliefs()) {
-      Sinks.Beliefs(decodeBeliefs(Message.beliefs()));
+      Sinks.CatalogUpdates(decodeCatalogUpdate(Message.beliefs()));
       return true;
     }
     return false;
   }
 
   BeliefRevisions ownRevisions() const {
-    return Known ? Known->revisions() : BeliefRevisions();
+    return KnownCatalog ? KnownCatalog->revisions() : BeliefRevisions();
   }
 
   void sendDigests() {
     const wire::Envelope Digest = encodeDigest(ownRevisions());
-    for (auto &[Address, L] : Links) {
+    for (auto &[Address, Side] : Sides) {
       wire::Envelope E = Digest;
-      L.Socket->sendSoon(E);
+      Side.Connection->sendOrQueue(E);
     }
   }
 
-  // Until a configuration is known, other entries are asked as well as the
-  // store, which may not answer.
-  void askPeers() {
-    for (const http::Endpoint &Peer : S.Fleet.Peers) {
-      if (Peer.Address == S.Fleet.Address)
+  // Requests the catalog state from other entries until a configuration is
+  // known, since the store may not answer.
+  void requestFromPeers() {
+    for (const http::Endpoint &Peer : ProcessSettings.Fleet.Peers) {
+      if (Peer.Address == ProcessSettings.Fleet.Address)
         continue;
       const std::string Address =
-          Peer.Address + ":" + std::to_string(S.Fleet.LinkPort);
-      auto &Link = PeerLinks[Address];
-      if (!Link)
-        Link = std::make_unique<SideLink>(
+          Peer.Address + ":" + std::to_string(ProcessSettings.Fleet.LinkPort);
+      auto &Connection = PeerConnections[Address];
+      if (!Connection)
+        Connection = std::make_unique<SideConnection>(
             Io, Context, Address, "", [this, Address](wire::Envelope &Message) {
-              onBeliefMessage(*PeerLinks[Address], Message);
+              onCatalogMessage(*PeerConnections[Address], Message);
             });
-      wire::Envelope E = encodeBeliefRequest(BeliefRevisions());
-      Link->sendSoon(E);
-      Link->flush();
+      wire::Envelope E = encodeCatalogRequest(BeliefRevisions());
+      Connection->sendOrQueue(E);
+      Connection->flush();
     }
   }
 
-  void exchangeBeliefs(Time N) {
-    if (N < NextDigest)
+  void exchangeCatalog(Time Now) {
+    if (Now < NextDigest)
       return;
-    NextDigest = N + DigestInterval;
+    NextDigest = Now + DigestInterval;
     sendDigests();
-    if (!Decisions.hasConfig())
-      askPeers();
+    if (!Forwarder.hasConfig())
+      requestFromPeers();
     else
-      PeerLinks.clear();
+      PeerConnections.clear();
   }
 
   void onSideMessage(const std::string &Address, wire::Envelope &Message) {
-    Link &From = Links[Address];
+    Side &From = Sides[Address];
     const std::string Id = From.UpstreamId;
-    const Time N = now();
-    if (onBeliefMessage(*From.Socket, Message))
+    const Time Now = now();
+    if (onCatalogMessage(*From.Connection, Message))
       return;
     if (Message.has_admission_reply()) {
-      const wire::AdmissionReply &R = Message.admission_reply();
-      return Decisions.onAdmission(N, Id, R.id(), decodeReply(R));
+      const wire::AdmissionReply &Reply = Message.admission_reply();
+      return Forwarder.onAdmission(Now, Id, Reply.id(), decodeReply(Reply));
     }
     if (Message.has_engine_load()) {
       const std::string &Named = Message.engine_load().upstream();
-      Decisions.onLoad(N, Named.empty() ? Id : Named,
+      Forwarder.onLoad(Now, Named.empty() ? Id : Named,
                        decodeLoad(Message.engine_load()));
       onEntries(Message.engine_load().entries());
     }
   }
 
   void onEntries(size_t Count) {
-    if (Count == 0 || Count == Entries)
+    if (Count == 0 || Count == EntryCount)
       return;
-    Entries = Count;
-    Decisions.onEntries(Count);
-    Sinks.Entries(Count);
+    EntryCount = Count;
+    Forwarder.onEntries(Count);
+    Sinks.EntryCount(Count);
   }
 
   void sideSilent(const UpstreamRecord &U) override {
-    Link &L = linkTo(U);
-    const Time N = now();
-    if (N - L.ResetAt < LinkResetPause)
+    Side &Silent = sideOf(U);
+    const Time Now = now();
+    if (Now - Silent.ResetAt < MinResetInterval)
       return;
-    L.ResetAt = N;
-    L.Socket->reset();
+    Silent.ResetAt = Now;
+    Silent.Connection->reset();
   }
 
   void tick() {
-    const Time N = now();
-    Decisions.onTimer(N);
-    exchangeBeliefs(N);
-    for (auto &[Address, L] : Links)
-      L.Socket->flush();
-    Tick.expires_after(TickInterval);
-    Tick.async_wait([this](boost::system::error_code Error) {
+    const Time Now = now();
+    Forwarder.onTimer(Now);
+    exchangeCatalog(Now);
+    for (auto &[Address, Side] : Sides)
+      Side.Connection->flush();
+    TickTimer.expires_after(TickInterval);
+    TickTimer.async_wait([this](boost::system::error_code Error) {
       if (!Error)
         tick();
     });
   }
 
-  void publish(std::shared_ptr<const Catalog> C) {
-    if (const DeploymentConfig *Config = C->config())
-      Callers.setOptions(serverOptions(Config->Limits));
-    Known = C;
+  void publish(std::shared_ptr<const Catalog> NewCatalog) {
+    if (const DeploymentConfig *Config = NewCatalog->config())
+      CallerServer.setOptions(serverOptions(Config->Limits));
+    KnownCatalog = NewCatalog;
     std::set<std::string> Addresses;
-    for (const auto &[Id, U] : C->upstreams()) {
-      const ServiceSpec *Spec = C->service(U.Service);
+    for (const auto &[Id, U] : NewCatalog->upstreams()) {
+      const ServiceSpec *Spec = NewCatalog->service(U.Service);
       if (!Spec || !Spec->IsEngine)
         continue;
-      linkTo(U);
+      sideOf(U);
       Addresses.insert(U.Address.Address + ":" +
-                       std::to_string(S.Fleet.LinkPort));
+                       std::to_string(ProcessSettings.Fleet.LinkPort));
     }
-    std::erase_if(Links, [&](const auto &Item) {
+    std::erase_if(Sides, [&](const auto &Item) {
       return !Addresses.contains(Item.first);
     });
-    Decisions.onCatalog(now(), std::move(C));
+    Forwarder.onCatalog(now(), std::move(NewCatalog));
     sendDigests();
   }
 
-  Settings S;
+  Settings ProcessSettings;
   TrafficSinks Sinks;
   boost::asio::io_context Io{1};
   zmq::context_t Context{1};
-  http::Server Callers;
-  http::Server Readiness;
-  http::Client Upstreams;
-  boost::asio::steady_timer Tick;
+  http::Server CallerServer;
+  http::Server ReadinessServer;
+  http::Client UpstreamClient;
+  boost::asio::steady_timer TickTimer;
   ForwardMetrics Metrics;
-  wire::RouterSocket Peers;
-  std::shared_ptr<const Catalog> Known;
-  std::unordered_map<std::string, Link> Links;
-  std::map<std::string, std::unique_ptr<SideLink>> PeerLinks;
-  size_t Entries = AssumedEntries;
+  wire::RouterSocket PeerSocket;
+  std::shared_ptr<const Catalog> KnownCatalog;
+  std::unordered_map<std::string, Side> Sides;
+  std::map<std::string, std::unique_ptr<SideConnection>> PeerConnections;
+  size_t EntryCount = InitialEntryCount;
   Time NextDigest{};
-  BeliefExchange Exchange;
-  std::unordered_map<uint64_t, OpenCall> Open;
-  std::unordered_map<uint64_t, OpenSend> Sends;
-  std::atomic<size_t> InProgress{0};
-  uint64_t LastCall = 0;
+  CatalogExchange Exchange;
+  std::unordered_map<uint64_t, OpenCall> OpenCalls;
+  std::unordered_map<uint64_t, OpenSend> OpenSends;
+  std::atomic<size_t> CallCount{0};
+  uint64_t LastCallId = 0;
   bool Stopping = false;
-  forward::Forwarder Decisions;
+  forward::Forwarder Forwarder;
 };
 
-EntryTraffic::EntryTraffic(const Settings &S, uint64_t Seed, TrafficSinks Sinks)
-    : Shared(std::make_unique<State>(S, Seed, std::move(Sinks))) {}
+EntryTraffic::EntryTraffic(const Settings &ProcessSettings, uint64_t Seed,
+                           TrafficSinks Sinks)
+    : Impl(std::make_unique<State>(ProcessSettings, Seed, std::move(Sinks))) {}
 
 EntryTraffic::~EntryTraffic() = default;
 
-void EntryTraffic::run() { Shared->Io.run(); }
+void EntryTraffic::run() { Impl->Io.run(); }
 
-void EntryTraffic::publish(std::shared_ptr<const Catalog> C) {
-  boost::asio::post(Shared->Io, [this, C] { Shared->publish(C); });
+void EntryTraffic::publish(std::shared_ptr<const Catalog> NewCatalog) {
+  boost::asio::post(Impl->Io,
+                    [this, NewCatalog] { Impl->publish(NewCatalog); });
 }
 
 void EntryTraffic::announceStop() {
-  boost::asio::post(Shared->Io, [this] {
-    Shared->Stopping = true;
-    Shared->Callers.announceClose();
+  boost::asio::post(Impl->Io, [this] {
+    Impl->Stopping = true;
+    Impl->CallerServer.announceClose();
   });
 }
 
 void EntryTraffic::stopAccepting() {
-  boost::asio::post(Shared->Io, [this] { Shared->Callers.stopAccepting(); });
+  boost::asio::post(Impl->Io, [this] { Impl->CallerServer.stopAccepting(); });
 }
 
 void EntryTraffic::stop() {
-  boost::asio::post(Shared->Io, [this] { Shared->Io.stop(); });
+  boost::asio::post(Impl->Io, [this] { Impl->Io.stop(); });
 }
 
-size_t EntryTraffic::callsInProgress() const { return Shared->InProgress; }
+size_t EntryTraffic::callsInProgress() const { return Impl->CallCount; }
 
 void EntryTraffic::metrics(std::function<void(std::string)> Done) {
-  boost::asio::post(Shared->Io, [this, Done] { Done(Shared->Metrics.text()); });
+  boost::asio::post(Impl->Io, [this, Done] { Done(Impl->Metrics.text()); });
 }
 
 } // namespace goldcrestlink
--- a/daemon/entry_traffic.h
+++ b/daemon/entry_traffic.h
@@ -1,10 +1,10 @@
 // The traffic thread of an entry on the platform: callers' connections, calls
-// to upstreams, messages to sides, and the Forwarder that decides.
+// to upstreams, messages to sides, and the Forwarder that takes the decisions.
 //
-//   EntryTraffic T(Settings, Seed, Sinks);
-//   std::thread Thread([&] { T.run(); });
-//   T.publish(Catalog);      // from the control thread
-//   T.stop();
+//   EntryTraffic Traffic(Settings, Seed, Sinks);
+//   std::thread Thread([&] { Traffic.run(); });
+//   Traffic.publish(Catalog);      // from the control thread
+//   Traffic.stop();
 #ifndef GOLDCRESTLINK_DAEMON_ENTRY_TRAFFIC_H
 #define GOLDCRESTLINK_DAEMON_ENTRY_TRAFFIC_H
 
@@ -18,39 +18,42 @@
 
 namespace goldcrestlink {
 
-/// Where the traffic thread hands things over; both may be called on it at any
-/// time and must not block.
+/// Where the traffic thread sends its output. All are called on that thread, at
+/// any time, and must not block.
 struct TrafficSinks {
   std::function<void(LineClass, std::string)> Log;
-  /// What another process knows of the deployment that this one lacks.
-  std::function<void(BeliefUpdate)> Beliefs;
-  /// Entries alive, this one included.
-  std::function<void(size_t)> Entries;
+  /// Newer catalog state received from another process.
+  std::function<void(BeliefUpdate)> CatalogUpdates;
+  /// The number of running entries, this one included, when it changes.
+  std::function<void(size_t)> EntryCount;
 };
 
 /// Construct and run() on any threads; the other methods are thread-safe.
 class EntryTraffic {
 public:
-  /// Binds the listening addresses; throws std::runtime_error if one is taken.
-  EntryTraffic(const Settings &S, uint64_t Seed, TrafficSinks Sinks);
+  /// Binds the listening addresses; throws std::runtime_error if one is in use.
+  EntryTraffic(const Settings &ProcessSettings, uint64_t Seed,
+               TrafficSinks Sinks);
   ~EntryTraffic();
   /// Serves until stop().
   void run();
-  void publish(std::shared_ptr<const Catalog> C);
-  /// Not ready from now on; serves on, and asks callers to close.
+  /// Replaces the catalog that decisions are based on.
+  void publish(std::shared_ptr<const Catalog> NewCatalog);
+  /// First step of a graceful shutdown: reports not ready and asks callers to
+  /// close their connections, but still serves.
   void announceStop();
-  /// Accepts no more connections and closes idle ones.
+  /// Second step: accepts no new connections and closes idle ones.
   void stopAccepting();
   void stop();
-  /// Calls and connections with an answer on the way.
+  /// The number of calls that have not been answered completely.
   size_t callsInProgress() const;
-  /// Calls \p Done on the traffic thread with the metrics page.
+  /// Passes the metrics page to \p Done, on the traffic thread.
   void metrics(std::function<void(std::string)> Done);
 
   struct State;
 
 private:
-  std::unique_ptr<State> Shared;
+  std::unique_ptr<State> Impl;
 };
 
 } // namespace goldcrestlink
--- a/daemon/fleet_entry.cc
+++ b/daemon/fleet_entry.cc
@@ -1,5 +1,6 @@
-// The control thread is the calling thread: it follows the store, hands each
-// new belief to the traffic thread as a whole, and runs the stop.
+// The control thread is the calling thread: it keeps the catalog up to date
+// from the store, passes a complete copy to the traffic thread after each
+// change, and runs the graceful shutdown.
 #include "daemon/fleet_entry.h"
 
 #include <thread>
@@ -17,72 +18,75 @@
 
 namespace {
 
-// The platform asks for readiness every second and stops sending after two
-// misses; until then new connections are still served.
+// The platform checks readiness every second and stops sending after two failed
+// checks; until then new connections are still accepted.
 constexpr Duration StopNotice = std::chrono::milliseconds(2600);
-// Left for the process to end before it would be killed.
-constexpr Duration StopMargin = std::chrono::milliseconds(400);
-// Time for the last answers to leave once no call is in progress.
+// Reserved for the process to exit before the platform would kill it.
+constexpr Duration ExitMargin = std::chrono::milliseconds(400);
+// Time to send the last responses once no call is in progress.
 constexpr Duration StopFlush = std::chrono::milliseconds(100);
 
 class FleetEntry {
 public:
-  FleetEntry(const Settings &Given, const std::string &File)
-      : S(Given), Seed(freshSeed()),
-        Control(Io, S, File,
+  FleetEntry(const Settings &InSettings, const std::string &File)
+      : ProcessSettings(InSettings), Seed(freshSeed()),
+        Control(Io, ProcessSettings, File,
                 {[this] { beginStop(); },
-                 [this](const Settings &New) { S = New; },
+                 [this](const Settings &NewSettings) {
+                   ProcessSettings = NewSettings;
+                 },
                  [this](std::function<void(std::string)> Done) {
                    Traffic.metrics(
-                       [Done, Own = beliefMetrics()](const std::string &Page) {
+                       [Done, Own = catalogMetrics()](const std::string &Page) {
                          Done(Page + Own);
                        });
                  }}),
-        Traffic(S, Seed,
+        Traffic(ProcessSettings, Seed,
                 {[this](LineClass Class, std::string Line) {
                    Control.log(Class, std::move(Line));
                  },
-                 [this](BeliefUpdate U) {
-                   boost::asio::post(
-                       Io, [this, U = std::move(U)] { Follower.onBeliefs(U); });
+                 [this](BeliefUpdate Update) {
+                   boost::asio::post(Io, [this, Update = std::move(Update)] {
+                     Store.onCatalogUpdate(Update);
+                   });
                  },
                  [this](size_t Count) {
                    boost::asio::post(
-                       Io, [this, Count] { Follower.setEntries(Count); });
+                       Io, [this, Count] { Store.setEntryCount(Count); });
                  }}),
-        Follower(
-            Io, S.Fleet.Store, Seed + 1, [this] { publish(); },
+        Store(
+            Io, ProcessSettings.Fleet.Store, Seed + 1, [this] { publish(); },
             [this](std::string Line) { Control.log(std::move(Line)); }),
-        Stop(Io, {[this] { Traffic.announceStop(); },
-                  [this] { Traffic.stopAccepting(); },
-                  [this] { return Traffic.callsInProgress(); }}) {}
+        Shutdown(Io, {[this] { Traffic.announceStop(); },
+                      [this] { Traffic.stopAccepting(); },
+                      [this] { return Traffic.callsInProgress(); }}) {}
 
   int run() {
-    Follower.start();
+    Store.start();
     std::thread Thread([this] { Traffic.run(); });
     Io.run();
     Traffic.stop();
     Thread.join();
-    Control.log("stop instance=" + S.InstanceName);
+    Control.log("stop instance=" + ProcessSettings.InstanceName);
     Control.flush();
     return 0;
   }
 
 private:
-  // What the process believes of the deployment, and its cost.
-  std::string beliefMetrics() const {
-    const Catalog &C = Follower.catalog();
+  // The state of the catalog and the store calls that it took.
+  std::string catalogMetrics() const {
+    const Catalog &Known = Store.catalog();
     size_t Draining = 0;
-    for (const auto &[Id, U] : C.upstreams())
-      Draining += U.Draining ? 1 : 0;
+    for (const auto &[Id, Upstream] : Known.upstreams())
+      Draining += Upstream.Draining ? 1 : 0;
     const std::pair<const char *, uint64_t> Gauges[] = {
-        {"store_calls_total", Follower.storeCalls()},
-        {"store_reached", Follower.inContact() ? 1 : 0},
-        {"config_version", C.revisions().Config},
-        {"upstreams_revision", C.revisions().Upstreams},
-        {"releases_revision", C.revisions().Releases},
+        {"store_calls_total", Store.storeCalls()},
+        {"store_reached", Store.inContact() ? 1 : 0},
+        {"config_version", Known.revisions().Config},
+        {"upstreams_revision", Known.revisions().Upstreams},
+        {"releases_revision", Known.revisions().Releases},
         {"upstreams_draining", Draining},
-        {"upstreams_ready", C.upstreams().size() - Draining}};
+        {"upstreams_ready", Known.upstreams().size() - Draining}};
     std::string Out;
     for (const auto &[Name, Value] : Gauges)
       Out += std::string("goldcrestlink_") + Name + " " +
@@ -91,27 +95,28 @@
   }
 
   void publish() {
-    Traffic.publish(std::make_shared<const Catalog>(Follower.catalog()));
+    Traffic.publish(std::make_shared<const Catalog>(Store.catalog()));
   }
 
   void beginStop() {
-    Stop.begin(presentTime().Steady,
-               {StopNotice, StopFlush, S.Fleet.StopTime - StopMargin});
+    Shutdown.begin(
+        presentTime().Steady,
+        {StopNotice, StopFlush, ProcessSettings.Fleet.StopTime - ExitMargin});
   }
 
-  Settings S;
+  Settings ProcessSettings;
   uint64_t Seed;
   boost::asio::io_context Io{1};
   ProcessControl Control;
   EntryTraffic Traffic;
-  StoreFollower Follower;
-  PlannedStop Stop;
+  StoreFollower Store;
+  GracefulShutdown Shutdown;
 };
 
 } // namespace
 
-int runFleetEntry(const Settings &S, const std::string &File) {
-  return FleetEntry(S, File).run();
+int runFleetEntry(const Settings &ProcessSettings, const std::string &File) {
+  return FleetEntry(ProcessSettings, File).run();
 }
 
 } // namespace goldcrestlink
--- a/daemon/fleet_entry.h
+++ b/daemon/fleet_entry.h
@@ -1,4 +1,4 @@
-// The entry process on the platform's store.
+// The entry process of a deployment that is declared in the platform's store.
 #ifndef GOLDCRESTLINK_DAEMON_FLEET_ENTRY_H
 #define GOLDCRESTLINK_DAEMON_FLEET_ENTRY_H
 
@@ -6,9 +6,10 @@
 
 namespace goldcrestlink {
 
-/// Runs an entry until SIGTERM; the process's exit code. \p File is read again
-/// when it changes. Precondition: \p S.onFleet().
-int runFleetEntry(const Settings &S, const std::string &File);
+/// Serves until SIGTERM or SIGINT, then stops gracefully. Returns the exit
+/// code. Throws if it cannot start. The settings file \p File is reloaded when
+/// it changes. Precondition: \p ProcessSettings.onFleet().
+int runFleetEntry(const Settings &ProcessSettings, const std::string &File);
 
 } // namespace goldcrestlink
 
--- a/daemon/fleet_side.cc
+++ b/daemon/fleet_side.cc
@@ -1,8 +1,9 @@
-// The control thread has signals, log and metrics; the traffic thread talks to
-// entries and to the engine. What a side knows of the deployment it learns from
-// entries, so that the number of sides costs the platform's store nothing, and
-// it passes that on to entries that know less. The engine is asked for its
-// report when a decision waits for it, and at a slow pace otherwise.
+// The control thread handles signals, log and metrics; the traffic thread
+// exchanges messages with entries and calls the engine. A side receives the
+// catalog state from entries, so that the load on the platform's store does not
+// grow with the number of sides, and sends it to entries whose state is older.
+// The engine's report is requested when a decision depends on it, and less
+// often otherwise.
 #include "daemon/fleet_side.h"
 
 #include <map>
@@ -29,41 +30,48 @@
 
 namespace {
 
-// Steps while something is awaited of the engine or by entries, and otherwise.
+// Timer intervals while a report is due from the engine or requests are
+// waiting, and otherwise.
 constexpr Duration BusyTick = std::chrono::milliseconds(10);
 constexpr Duration IdleTick = std::chrono::milliseconds(50);
-// The engine is on the same instance.
+// Short, since the engine is on the same instance.
 constexpr Duration ReportTimeout = std::chrono::milliseconds(400);
-constexpr Duration OrderAnswerTimeout = std::chrono::milliseconds(400);
-// Reports in a row without an answer until the engine counts as unreachable.
-constexpr unsigned MaxReportMisses = 2;
-// Load messages to entries: at least and at most this far apart, by whether
-// the held adapters changed.
-constexpr Duration LoadInterval = std::chrono::milliseconds(250);
-constexpr Duration HeldInterval = std::chrono::milliseconds(40);
-// An entry that has not asked for this long is forgotten.
-constexpr Duration EntryMemory = std::chrono::seconds(6);
-constexpr Duration StopTime = std::chrono::milliseconds(300);
+constexpr Duration OrderTimeout = std::chrono::milliseconds(400);
+// Consecutive failed report requests after which the engine counts as
+// unreachable.
+constexpr unsigned MaxMissedReports = 2;
+// Minimum time between load messages to entries: the shorter one applies when
+// the held adapters or the serving state have changed. Unchanged load is not
+// sent.
+constexpr Duration MinLoadInterval = std::chrono::milliseconds(250);
+constexpr Duration MinChangedLoadInterval = std::chrono::milliseconds(40);
+// An entry from which no message has been received for this long is removed.
+constexpr Duration EntryExpiry = std::chrono::seconds(6);
+// From the signal until the process stops.
+constexpr Duration StopDelay = std::chrono::milliseconds(300);
 
 class FleetSide : SidePort {
 public:
-  FleetSide(const Settings &Given, const std::string &File)
-      : S(Given),
-        Control(ControlIo, S, File,
+  FleetSide(const Settings &InSettings, const std::string &File)
+      : ProcessSettings(InSettings),
+        Control(ControlIo, ProcessSettings, File,
                 {[this] { beginStop(); },
-                 [this](const Settings &New) { S = New; },
+                 [this](const Settings &NewSettings) {
+                   ProcessSettings = NewSettings;
+                 },
                  [this](std::function<void(std::string)> Done) {
                    boost::asio::post(Io, [this, Done] { Done(metrics()); });
                  }}),
-        StopTimer(ControlIo), Engine(Io), Tick(Io),
-        Admission(
-            SideAdmission::Options().setSpreadSeed(hash64(S.InstanceName)),
-            *this),
-        Entries(Io, Context,
-                S.Fleet.Address + ":" + std::to_string(S.Fleet.LinkPort),
-                [this](const std::string &Peer, wire::Envelope &Message) {
-                  onEntryMessage(Peer, Message);
-                }) {}
+        StopTimer(ControlIo), Engine(Io), TickTimer(Io),
+        Admission(SideAdmission::Options().setSpreadSeed(
+                      hash64(ProcessSettings.InstanceName)),
+                  *this),
+        EntrySocket(Io, Context,
+                    ProcessSettings.Fleet.Address + ":" +
+                        std::to_string(ProcessSettings.Fleet.LinkPort),
+                    [this](const std::string &Peer, wire::Envelope &Message) {
+                      onEntryMessage(Peer, Message);
+                    }) {}
 
   int run() {
     tick();
@@ -71,7 +79,7 @@
     ControlIo.run();
     boost::asio::post(Io, [this] { Io.stop(); });
     Thread.join();
-    Control.log("stop instance=" + S.InstanceName);
+    Control.log("stop instance=" + ProcessSettings.InstanceName);
     Control.flush();
     return 0;
   }
@@ -82,8 +90,8 @@
   // Control thread.
 
   void beginStop() {
-    // The engine goes on serving; entries send to it directly.
-    StopTimer.expires_after(StopTime);
+    // The engine keeps serving: entries send requests to it directly.
+    StopTimer.expires_after(StopDelay);
     StopTimer.async_wait(
         [this](boost::system::error_code) { ControlIo.stop(); });
   }
@@ -91,96 +99,102 @@
   // Traffic thread: entries.
 
   void onEntryMessage(const std::string &Peer, wire::Envelope &Message) {
-    const Time N = now();
-    const bool New = LastHeard.insert_or_assign(Peer, N).second;
+    const Time Now = now();
+    const bool IsNew = LastSeen.insert_or_assign(Peer, Now).second;
     if (Message.has_admission_ask())
-      Admission.onAsk(N, decodeAsk(Message.admission_ask(), Peer));
+      Admission.onAsk(Now,
+                      decodeAdmissionRequest(Message.admission_ask(), Peer));
     else if (Message.has_admission_end())
-      Admission.onEnd(N, Peer, Message.admission_end().id(),
+      Admission.onEnd(Now, Peer, Message.admission_end().id(),
                       Duration(static_cast<int64_t>(
                           Message.admission_end().first_token_us())));
     else
-      onBeliefMessage(N, Peer, Message);
-    if (New)
-      sendLoad(Peer, Admission.load(N));
-    askReport(N);
-    hurryTick();
+      onCatalogMessage(Now, Peer, Message);
+    if (IsNew)
+      sendLoad(Peer, Admission.load(Now));
+    requestReport(Now);
+    rearmTickIfBusy();
   }
 
-  // Traffic thread: what is known of the deployment.
+  // Traffic thread: catalog state.
 
-  void onBeliefMessage(Time N, const std::string &Peer,
-                       wire::Envelope &Message) {
+  void onCatalogMessage(Time Now, const std::string &Peer,
+                        wire::Envelope &Message) {
     if (Message.has_digest()) {
       const BeliefRevisions Theirs = decodeRevisions(Message.digest());
-      const BeliefRevisions &Own = Believed.revisions();
-      if (auto E = Exchange.askFor(N, Theirs, Own))
-        tell(Peer, *E);
+      const BeliefRevisions &Own = KnownCatalog.revisions();
+      if (auto E = Exchange.requestMissing(Now, Theirs, Own))
+        send(Peer, *E);
       if (Theirs.lacks(Own)) {
         wire::Envelope E = encodeDigest(Own);
-        tell(Peer, E);
+        send(Peer, E);
       }
     } else if (Message.has_belief_request()) {
-      wire::Envelope E = beliefsFor(Message.belief_request(), Believed);
-      tell(Peer, E);
+      wire::Envelope E =
+          catalogUpdateFor(Message.belief_request(), KnownCatalog);
+      send(Peer, E);
     } else if (Message.has_beliefs()) {
-      onBeliefs(N, Peer, decodeBeliefs(Message.beliefs()));
+      onCatalogUpdate(Now, Peer, decodeCatalogUpdate(Message.beliefs()));
     }
   }
 
-  void onBeliefs(Time N, const std::string &From, const BeliefUpdate &U) {
-    const BeliefRevisions Before = Believed.revisions();
-    Believed.applyBeliefs(N, U);
-    for (const WeightRelease &R : U.Releases)
-      Admission.onRelease(N, R);
-    if (!U.ConfigText.empty())
-      onConfigText(N, U.ConfigText);
-    if (Believed.revisions() == Before)
+  void onCatalogUpdate(Time Now, const std::string &From,
+                       const BeliefUpdate &Update) {
+    const BeliefRevisions Before = KnownCatalog.revisions();
+    KnownCatalog.applyBeliefs(Now, Update);
+    for (const WeightRelease &R : Update.Releases)
+      Admission.onRelease(Now, R);
+    if (!Update.ConfigText.empty())
+      onConfigText(Now, Update.ConfigText);
+    if (KnownCatalog.revisions() == Before)
       return;
     Control.log("beliefs config=" + std::to_string(Before.Config) + ".." +
-                std::to_string(Believed.revisions().Config) +
-                " upstreams=" + std::to_string(U.Upstreams.size()) +
-                " releases=" + std::to_string(U.Releases.size()));
-    // Those that know less ask for it.
-    wire::Envelope E = encodeDigest(Believed.revisions());
-    for (const auto &[Peer, At] : std::map<std::string, Time>(LastHeard))
+                std::to_string(KnownCatalog.revisions().Config) +
+                " upstreams=" + std::to_string(Update.Upstreams.size()) +
+                " releases=" + std::to_string(Update.Releases.size()));
+    // Entries whose state is older request the update.
+    wire::Envelope E = encodeDigest(KnownCatalog.revisions());
+    for (const auto &[Peer, At] : std::map<std::string, Time>(LastSeen))
       if (Peer != From)
-        tell(Peer, E);
+        send(Peer, E);
   }
 
-  void onConfigText(Time N, const std::string &Text) {
+  void onConfigText(Time Now, const std::string &Text) {
     try {
       auto Config =
           std::make_shared<DeploymentConfig>(platform::decodeConfig(Text));
-      if (!Believed.applyConfig(std::move(Config), Text))
+      if (!KnownCatalog.applyConfig(std::move(Config), Text))
         return;
-    } catch (const platform::DecodeError &Bad) {
-      Control.log("config outcome=unreadable why=\"" + std::string(Bad.what()) +
-                  "\"");
+    } catch (const platform::DecodeError &Error) {
+      Control.log("config outcome=unreadable why=\"" +
+                  std::string(Error.what()) + "\"");
       return;
     }
-    const ServiceSpec *Spec = Believed.service(S.Fleet.Service);
+    const ServiceSpec *Spec =
+        KnownCatalog.service(ProcessSettings.Fleet.Service);
     if (!Spec)
       return;
-    Health = Spec->HealthPath;
-    Admission.onConfig(N, Spec->Engine);
+    HealthPath = Spec->HealthPath;
+    Admission.onConfig(Now, Spec->Engine);
   }
 
-  void tell(const std::string &Peer, wire::Envelope &E) {
-    // Its next digest brings it up to date if it is still there.
-    if (!Entries.send(Peer, E))
-      LastHeard.erase(Peer);
+  void send(const std::string &Peer, wire::Envelope &E) {
+    // If the entry is still running, its next digest starts a new exchange.
+    if (!EntrySocket.send(Peer, E))
+      LastSeen.erase(Peer);
   }
 
-  void reply(const AdmissionAsk &To, const AdmissionReply &R) override {
-    if (R.What == Verdict::Refuse)
+  void reply(const AdmissionAsk &Request,
+             const AdmissionReply &Reply) override {
+    if (Reply.What == Verdict::Refuse)
       Control.log(
           LineClass::Routine,
-          "refuse ask=" + std::to_string(To.Id) + " adapter=" + To.Model + "/" +
-              To.Adapter + " rank=" + std::to_string(To.Rank) +
-              " reason=" + std::string(R.Reason) +
-              " expected_ms=" + std::to_string(R.Expected.count() / 1000) +
-              " patience_ms=" + std::to_string(To.Patience.count() / 1000) +
+          "refuse ask=" + std::to_string(Request.Id) +
+              " adapter=" + Request.Model + "/" + Request.Adapter +
+              " rank=" + std::to_string(Request.Rank) +
+              " reason=" + std::string(Reply.Reason) + " expected_ms=" +
+              std::to_string(Reply.Expected.count() / 1000) + " patience_ms=" +
+              std::to_string(Request.Patience.count() / 1000) +
               " granted=" + std::to_string(Admission.granted()) +
               " granted_tokens=" + std::to_string(Admission.grantedTokens()) +
               " waiting=" + std::to_string(Admission.waiting()) +
@@ -188,47 +202,49 @@
               " starting=" + std::to_string(Admission.report().Waiting) +
               " memory_used=" + std::to_string(Admission.report().MemoryUsed) +
               " rate=" + std::to_string(Admission.load(now()).PrefillRate));
-    wire::Envelope E = encodeReply(To.Id, R);
-    if (!Entries.send(To.Peer, E))
+    wire::Envelope E = encodeReply(Request.Id, Reply);
+    if (!EntrySocket.send(Request.Peer, E))
       Control.log(LineClass::Routine,
-                  "reply outcome=entry_gone ask=" + std::to_string(To.Id));
+                  "reply outcome=entry_gone ask=" + std::to_string(Request.Id));
   }
 
   void log(LineClass Class, std::string Line) override {
     Control.log(Class, std::move(Line));
   }
 
-  void sendLoad(const std::string &Peer, const EngineLoad &L) {
-    wire::Envelope E = encodeLoad(L, InstanceId, LastHeard.size());
-    tell(Peer, E);
+  void sendLoad(const std::string &Peer, const EngineLoad &Load) {
+    wire::Envelope E = encodeLoad(Load, InstanceId, LastSeen.size());
+    send(Peer, E);
   }
 
-  void shareLoad(Time N) {
-    const EngineLoad L = Admission.load(N);
+  void sendLoadIfChanged(Time Now) {
+    const EngineLoad Load = Admission.load(Now);
     const bool Changed =
-        L.Held != LastLoad.Held || L.Serving != LastLoad.Serving;
-    const bool Idle = L == LastLoad;
-    if (N - LoadSentAt < (Changed ? HeldInterval : LoadInterval) || Idle)
+        Load.Held != LastLoad.Held || Load.Serving != LastLoad.Serving;
+    const bool Unchanged = Load == LastLoad;
+    if (Now - LoadSentAt <
+            (Changed ? MinChangedLoadInterval : MinLoadInterval) ||
+        Unchanged)
       return;
-    LoadSentAt = N;
-    LastLoad = L;
-    std::erase_if(LastHeard, [&](const auto &Item) {
-      return N - Item.second > EntryMemory;
+    LoadSentAt = Now;
+    LastLoad = Load;
+    std::erase_if(LastSeen, [&](const auto &Item) {
+      return Now - Item.second > EntryExpiry;
     });
     std::vector<std::string> Peers;
-    for (const auto &[Peer, At] : LastHeard)
+    for (const auto &[Peer, At] : LastSeen)
       Peers.push_back(Peer);
     for (const std::string &Peer : Peers)
-      sendLoad(Peer, L);
+      sendLoad(Peer, Load);
   }
 
   // Traffic thread: the engine.
 
   void tick() {
-    const Time N = now();
-    Admission.onTimer(N);
-    askReport(N);
-    shareLoad(N);
+    const Time Now = now();
+    Admission.onTimer(Now);
+    requestReport(Now);
+    sendLoadIfChanged(Now);
     armTick();
   }
 
@@ -238,68 +254,70 @@
 
   void armTick() {
     TickIsBusy = isBusy();
-    Tick.expires_after(TickIsBusy ? BusyTick : IdleTick);
-    Tick.async_wait([this](boost::system::error_code Error) {
+    TickTimer.expires_after(TickIsBusy ? BusyTick : IdleTick);
+    TickTimer.async_wait([this](boost::system::error_code Error) {
       if (!Error)
         tick();
     });
   }
 
-  // Called after events that may begin a busy time.
-  void hurryTick() {
+  // Switches to the short interval at once. Called after events that may
+  // require it.
+  void rearmTickIfBusy() {
     if (!TickIsBusy && isBusy())
       armTick();
   }
 
-  void askReport(Time N) {
-    if (ReportOpen || N < Admission.reportDue(N))
+  void requestReport(Time Now) {
+    if (ReportPending || Now < Admission.reportDue(Now))
       return;
-    ReportOpen = true;
+    ReportPending = true;
     http::CallOptions Options;
     Options.setConnectTimeout(ReportTimeout).setSilenceTimeout(ReportTimeout);
-    Engine.fetch(S.Fleet.Engine, platform::reportRequest(), Options,
-                 [this](const http::Response *R, http::CallError) {
-                   ReportOpen = false;
+    Engine.fetch(ProcessSettings.Fleet.Engine, platform::reportRequest(),
+                 Options, [this](const http::Response *R, http::CallError) {
+                   ReportPending = false;
                    onReport(R);
                  });
   }
 
   void onReport(const http::Response *R) {
-    const Time N = now();
+    const Time Now = now();
     if (!R || R->Head.Status != 200) {
-      if (++Misses >= MaxReportMisses)
-        Admission.onEngineSilent(N);
+      if (++MissedReports >= MaxMissedReports)
+        Admission.onEngineSilent(Now);
       return;
     }
-    Misses = 0;
+    MissedReports = 0;
     try {
       const EngineReport Report = platform::decodeReport(R->Body);
       if (Report.StartedMs != StartedMs || InstanceId.empty()) {
         StartedMs = Report.StartedMs;
         InstanceId.clear();
-        askIdentity();
+        requestIdentity();
       }
-      // Orders name the incarnation, so none is given before it is known.
+      // Orders name the engine's incarnation, so none is given before it is
+      // known.
       if (!InstanceId.empty())
-        Admission.onReport(N, Report);
-      shareLoad(N);
-    } catch (const platform::DecodeError &Bad) {
-      Control.log("engine report=unreadable why=\"" + std::string(Bad.what()) +
-                  "\"");
+        Admission.onReport(Now, Report);
+      sendLoadIfChanged(Now);
+    } catch (const platform::DecodeError &Error) {
+      Control.log("engine report=unreadable why=\"" +
+                  std::string(Error.what()) + "\"");
     }
   }
 
-  void askIdentity() {
-    if (IdentityOpen || Health.empty())
+  void requestIdentity() {
+    if (IdentityPending || HealthPath.empty())
       return;
-    IdentityOpen = true;
-    http::Request Q;
-    Q.Target = Health;
+    IdentityPending = true;
+    http::Request HealthRequest;
+    HealthRequest.Target = HealthPath;
     http::CallOptions Options;
     Options.setConnectTimeout(ReportTimeout).setSilenceTimeout(ReportTimeout);
-    Engine.fetch(S.Fleet.Engine, std::move(Q), Options,
-                 [this](const http::Response *R, http::CallError) {
-                   IdentityOpen = false;
+    Engine.fetch(ProcessSettings.Fleet.Engine, std::move(HealthRequest),
+                 Options, [this](const http::Response *R, http::CallError) {
+                   IdentityPending = false;
                    if (!R)
                      return;
                    InstanceId = platform::decodeInstanceId(R->Head);
@@ -308,15 +326,16 @@
                  });
   }
 
-  void order(const EngineOrder &O) override {
+  void order(const EngineOrder &Order) override {
     http::CallOptions Options;
-    Options.setConnectTimeout(OrderAnswerTimeout)
-        .setSilenceTimeout(OrderAnswerTimeout);
-    ++Orders;
+    Options.setConnectTimeout(OrderTimeout).setSilenceTimeout(OrderTimeout);
+    ++OrderCount;
     Engine.fetch(
-        S.Fleet.Engine, platform::encodeOrder(O, S.InstanceName, InstanceId),
+        ProcessSettings.Fleet.Engine,
+        platform::encodeOrder(Order, ProcessSettings.InstanceName, InstanceId),
         Options,
-        [this, Number = O.Number](const http::Response *R, http::CallError) {
+        [this, Number = Order.Number](const http::Response *R,
+                                      http::CallError) {
           Admission.onOrderOutcome(now(), Number,
                                    R ? platform::decodeOrderAnswer(R->Head)
                                      : OrderOutcome::Unknown);
@@ -324,21 +343,21 @@
   }
 
   std::string metrics() const {
-    return "goldcrestlink_orders_total " + std::to_string(Orders) +
+    return "goldcrestlink_orders_total " + std::to_string(OrderCount) +
            "\ngoldcrestlink_adapter_loads_total " +
            std::to_string(Admission.loadsOrdered()) +
            "\ngoldcrestlink_evictions_total " +
            std::to_string(Admission.evictions()) +
            "\ngoldcrestlink_config_version " +
-           std::to_string(Believed.revisions().Config) +
+           std::to_string(KnownCatalog.revisions().Config) +
            "\ngoldcrestlink_adapters_held " +
            std::to_string(Admission.load(now()).Held.size()) +
            "\ngoldcrestlink_waiting " + std::to_string(Admission.waiting()) +
            "\ngoldcrestlink_granted " + std::to_string(Admission.granted()) +
-           "\ngoldcrestlink_entries " + std::to_string(LastHeard.size()) + "\n";
+           "\ngoldcrestlink_entries " + std::to_string(LastSeen.size()) + "\n";
   }
 
-  Settings S;
+  Settings ProcessSettings;
   boost::asio::io_context ControlIo{1};
   ProcessControl Control;
   boost::asio::steady_timer StopTimer;
@@ -346,28 +365,28 @@
   boost::asio::io_context Io{1};
   zmq::context_t Context{1};
   http::Client Engine;
-  boost::asio::steady_timer Tick;
+  boost::asio::steady_timer TickTimer;
   SideAdmission Admission;
-  wire::RouterSocket Entries;
-  std::map<std::string, Time> LastHeard;
-  Catalog Believed;
-  BeliefExchange Exchange;
+  wire::RouterSocket EntrySocket;
+  std::map<std::string, Time> LastSeen;
+  Catalog KnownCatalog;
+  CatalogExchange Exchange;
   EngineLoad LastLoad;
   Time LoadSentAt{};
-  std::string Health;
+  std::string HealthPath;
   std::string InstanceId;
   uint64_t StartedMs = 0;
-  uint64_t Orders = 0;
-  unsigned Misses = 0;
+  uint64_t OrderCount = 0;
+  unsigned MissedReports = 0;
   bool TickIsBusy = false;
-  bool ReportOpen = false;
-  bool IdentityOpen = false;
+  bool ReportPending = false;
+  bool IdentityPending = false;
 };
 
 } // namespace
 
-int runFleetSide(const Settings &S, const std::string &File) {
-  return FleetSide(S, File).run();
+int runFleetSide(const Settings &ProcessSettings, const std::string &File) {
+  return FleetSide(ProcessSettings, File).run();
 }
 
 } // namespace goldcrestlink
--- a/daemon/fleet_side.h
+++ b/daemon/fleet_side.h
@@ -1,4 +1,4 @@
-// The side process on the platform's store.
+// The side process of a deployment that is declared in the platform's store.
 #ifndef GOLDCRESTLINK_DAEMON_FLEET_SIDE_H
 #define GOLDCRESTLINK_DAEMON_FLEET_SIDE_H
 
@@ -6,9 +6,10 @@
 
 namespace goldcrestlink {
 
-/// Runs a side until SIGTERM; the process's exit code. \p File is read again
-/// when it changes. Precondition: \p S.onFleet().
-int runFleetSide(const Settings &S, const std::string &File);
+/// Serves until SIGTERM or SIGINT, then stops gracefully. Returns the exit
+/// code. Throws if it cannot start. The settings file \p File is reloaded when
+/// it changes. Precondition: \p ProcessSettings.onFleet().
+int runFleetSide(const Settings &ProcessSettings, const std::string &File);
 
 } // namespace goldcrestlink
 
--- a/daemon/forward_metrics.cc
+++ b/daemon/forward_metrics.cc
@@ -1,5 +1,5 @@
-// Latencies go into fixed buckets, so that pages of several entries can be
-// added up; counts and sums are kept by Boost.Accumulators.
+// Latencies go into fixed buckets, so that the metrics of several entries can
+// be summed; counts and sums are kept by Boost.Accumulators.
 #include "daemon/forward_metrics.h"
 
 #include <array>
@@ -19,10 +19,10 @@
 class Histogram {
 public:
   void add(double Value) {
-    Moments(Value);
+    CountAndSum(Value);
     for (size_t I = 0; I < BucketSeconds.size(); ++I)
       if (Value <= BucketSeconds[I])
-        ++AtMost[I];
+        ++CumulativeCounts[I];
   }
 
   void print(std::string &Out, const std::string &Name,
@@ -30,21 +30,22 @@
     for (size_t I = 0; I < BucketSeconds.size(); ++I) {
       Out += Name;
       Out += "_bucket{" + Labels + ",le=\"" + std::to_string(BucketSeconds[I]) +
-             "\"} " + std::to_string(AtMost[I]) + "\n";
+             "\"} " + std::to_string(CumulativeCounts[I]) + "\n";
     }
-    const std::string Count = std::to_string(acc::count(Moments));
+    const std::string Count = std::to_string(acc::count(CountAndSum));
     Out += Name;
     Out += "_bucket{" + Labels + ",le=\"+Inf\"} " + Count + "\n";
     Out += Name;
-    Out += "_sum{" + Labels + "} " + std::to_string(acc::sum(Moments)) + "\n";
+    Out +=
+        "_sum{" + Labels + "} " + std::to_string(acc::sum(CountAndSum)) + "\n";
     Out += Name;
     Out += "_count{" + Labels + "} " + Count + "\n";
   }
 
 private:
   acc::accumulator_set<double, acc::stats<acc::tag::count, acc::tag::sum>>
-      Moments;
-  std::array<uint64_t, BucketSeconds.size()> AtMost{};
+      CountAndSum;
+  std::array<uint64_t, BucketSeconds.size()> CumulativeCounts{};
 };
 } // namespace
 
--- a/daemon/forward_metrics.h
+++ b/daemon/forward_metrics.h
@@ -1,5 +1,5 @@
-// Metrics of an entry on the platform: ended calls by rank and outcome, and
-// latencies. Records are taken on the traffic thread.
+// Metrics of an entry on the platform: finished calls by rank and outcome, and
+// their latencies. Used on the traffic thread.
 //
 //   ForwardMetrics M;
 //   M.record(Rank, "served", FirstByte, Total);
@@ -21,9 +21,11 @@
 public:
   ForwardMetrics();
   ~ForwardMetrics();
+  /// Records a finished call. A \p FirstByte of zero is left out of the
+  /// first-byte histogram.
   void record(uint32_t Rank, std::string_view Outcome, Duration FirstByte,
               Duration Total);
-  /// Adds to a plain counter.
+  /// Adds \p By to the counter \p Name, which has no labels.
   void count(std::string_view Name, uint64_t By = 1);
   /// Prometheus text.
   std::string text() const;
--- a/daemon/main.cc
+++ b/daemon/main.cc
@@ -1,5 +1,5 @@
-// The daemon: goldcrestlinkd --settings FILE. Exit codes: 0 stopped as asked,
-// 1 could not start or failed, 2 bad settings or usage.
+// The daemon: goldcrestlinkd --settings FILE. Exit codes: 0 after a graceful
+// stop, 1 if it could not start or failed, 2 for invalid settings or usage.
 #include <cstdio>
 #include <cstdlib>
 #include <exception>
@@ -16,20 +16,23 @@
 
 namespace {
 
-int runRole(const goldcrestlink::Settings &S, const std::string &File) {
+int runRole(const goldcrestlink::Settings &ProcessSettings,
+            const std::string &File) {
   using goldcrestlink::Role;
-  if (S.onFleet())
-    return S.ProcessRole == Role::Entry ? goldcrestlink::runFleetEntry(S, File)
-                                        : goldcrestlink::runFleetSide(S, File);
-  return S.ProcessRole == Role::Entry ? goldcrestlink::runEntry(S)
-                                      : goldcrestlink::runSide(S);
+  if (ProcessSettings.onFleet())
+    return ProcessSettings.ProcessRole == Role::Entry
+               ? goldcrestlink::runFleetEntry(ProcessSettings, File)
+               : goldcrestlink::runFleetSide(ProcessSettings, File);
+  return ProcessSettings.ProcessRole == Role::Entry
+             ? goldcrestlink::runEntry(ProcessSettings)
+             : goldcrestlink::runSide(ProcessSettings);
 }
 
 } // namespace
 
 int main(int Argc, char **Argv) {
-  CLI::App App{"goldcrestlink daemon: an entry before, or a side beside, the "
-               "upstreams. Stops gracefully on SIGTERM."};
+  CLI::App App{"goldcrestlink daemon: an entry in front of, or a side "
+               "beside, the upstreams. Stops gracefully on SIGTERM."};
   std::string File;
   bool PrintDefaults = false;
   bool CheckOnly = false;
@@ -53,7 +56,7 @@
           Variable.empty() ? nullptr : std::getenv(Variable.c_str()))
     File = Path;
   if (File.empty()) {
-    std::fputs("goldcrestlinkd: --settings FILE is needed\n", stderr);
+    std::fputs("goldcrestlinkd: --settings FILE is required\n", stderr);
     return 2;
   }
   FLAGS_logtostdout = true;
--- a/daemon/planned_stop.cc
+++ b/daemon/planned_stop.cc
@@ -1,5 +1,5 @@
-// One timer: first the notice, then a look at the calls in progress every
-// PollInterval, bounded by the deadline.
+// One timer: it runs for the notice period, then polls the number of calls in
+// progress every PollInterval until the deadline.
 #include "daemon/planned_stop.h"
 
 #include <boost/asio/io_context.hpp>
@@ -10,36 +10,38 @@
 constexpr Duration PollInterval = std::chrono::milliseconds(20);
 } // namespace
 
-PlannedStop::PlannedStop(boost::asio::io_context &InIo, StopHandlers InOn)
+GracefulShutdown::GracefulShutdown(boost::asio::io_context &InIo,
+                                   ShutdownHandlers InOn)
     : Io(InIo), On(std::move(InOn)), Timer(Io) {}
 
-void PlannedStop::begin(Time N, StopTimes T) {
+void GracefulShutdown::begin(Time Now, ShutdownTimes InTimes) {
   if (Begun)
     return;
   Begun = true;
-  Times = T;
-  Deadline = N + T.Longest;
+  Times = InTimes;
+  Deadline = Now + InTimes.MaxDuration;
   On.Announce();
-  Timer.expires_after(T.Notice);
+  Timer.expires_after(InTimes.Notice);
   Timer.async_wait([this](boost::system::error_code) {
     On.StopAccepting();
     awaitDrained(Time{});
   });
 }
 
-// \p EmptySince is when the last call was seen to end.
-void PlannedStop::awaitDrained(Time EmptySince) {
-  const Time N = presentTime().Steady;
+// \p IdleSince is when a poll first found no call in progress; Time{} if the
+// last poll found one.
+void GracefulShutdown::awaitDrained(Time IdleSince) {
+  const Time Now = presentTime().Steady;
   if (On.CallsInProgress() > 0)
-    EmptySince = Time{};
-  else if (EmptySince == Time{})
-    EmptySince = N;
-  const bool Flushed = EmptySince != Time{} && N - EmptySince >= Times.Flush;
-  if (Flushed || N >= Deadline)
+    IdleSince = Time{};
+  else if (IdleSince == Time{})
+    IdleSince = Now;
+  const bool Flushed = IdleSince != Time{} && Now - IdleSince >= Times.Flush;
+  if (Flushed || Now >= Deadline)
     return Io.stop();
   Timer.expires_after(PollInterval);
-  Timer.async_wait([this, EmptySince](boost::system::error_code) {
-    awaitDrained(EmptySince);
+  Timer.async_wait([this, IdleSince](boost::system::error_code) {
+    awaitDrained(IdleSince);
   });
 }
 
--- a/daemon/planned_stop.h
+++ b/daemon/planned_stop.h
@@ -1,10 +1,10 @@
-// The order of a planned stop: not ready at once, but serving until callers
-// have noticed; then no new connections; then the end, once the last answer has
-// left or the time is over.
+// Runs a graceful shutdown: the process reports that it is not ready but still
+// serves until callers have noticed; then accepts no new connections; then the
+// io_context is stopped once the last response has been sent or the time limit
+// is reached.
 //
-//   PlannedStop Stop(Io, {StopNotice, StopFlush, Longest},
-//                    {Announce, StopAccepting, CallsInProgress});
-//   Stop.begin(Now);     // Io.stop() is called when all is done
+//   GracefulShutdown Shutdown(Io, {Announce, StopAccepting, CallsInProgress});
+//   Shutdown.begin(Now, {Notice, Flush, MaxDuration});
 #ifndef GOLDCRESTLINK_DAEMON_PLANNED_STOP_H
 #define GOLDCRESTLINK_DAEMON_PLANNED_STOP_H
 
@@ -16,35 +16,37 @@
 
 namespace goldcrestlink {
 
-struct StopTimes {
-  /// How long new connections are still served.
+struct ShutdownTimes {
+  /// How long new connections are still accepted after begin().
   Duration Notice{};
-  /// For the last answers to leave once no call is in progress.
+  /// Time to send the last responses once no call is in progress.
   Duration Flush{};
-  /// From the beginning until the process ends in any case.
-  Duration Longest{};
+  /// From begin() until the io_context is stopped even if calls are open.
+  Duration MaxDuration{};
 };
 
-struct StopHandlers {
+/// All are called on the thread of the io_context, in this order.
+struct ShutdownHandlers {
+  /// Reports that the process is not ready.
   std::function<void()> Announce;
   std::function<void()> StopAccepting;
   std::function<size_t()> CallsInProgress;
 };
 
-/// For the thread of its io_context.
-class PlannedStop {
+/// Not thread-safe: to be used on the thread of its io_context.
+class GracefulShutdown {
 public:
-  PlannedStop(boost::asio::io_context &Io, StopHandlers On);
-  /// Later calls do nothing.
-  void begin(Time N, StopTimes T);
+  GracefulShutdown(boost::asio::io_context &Io, ShutdownHandlers On);
+  /// Starts the shutdown; later calls do nothing.
+  void begin(Time Now, ShutdownTimes InTimes);
   bool begun() const { return Begun; }
 
 private:
-  void awaitDrained(Time EmptySince);
+  void awaitDrained(Time IdleSince);
 
   boost::asio::io_context &Io;
-  StopHandlers On;
-  StopTimes Times;
+  ShutdownHandlers On;
+  ShutdownTimes Times;
   boost::asio::steady_timer Timer;
   Time Deadline{};
   bool Begun = false;
--- a/daemon/process_control.cc
+++ b/daemon/process_control.cc
@@ -1,5 +1,5 @@
-// The settings file is read again on SIGHUP and, since it may change without
-// one, every FileCheckInterval; only a changed text is parsed.
+// The settings file is read again on SIGHUP and every FileCheckInterval, since
+// it may change without a signal; it is parsed only if its text has changed.
 #include "daemon/process_control.h"
 
 #include <csignal>
@@ -18,41 +18,46 @@
 constexpr Duration FileCheckInterval = std::chrono::seconds(2);
 } // namespace
 
-ProcessControl::ProcessControl(boost::asio::io_context &InIo, const Settings &S,
-                               std::string InFile, ControlHandlers Handlers)
-    : Io(InIo), Present(S), File(std::move(InFile)), On(std::move(Handlers)),
-      Lines(S.LogLinesPerSecond), Signals(InIo, SIGTERM, SIGINT, SIGHUP),
-      DrainTimer(InIo),
-      Metrics(InIo,
-              {S.Fleet.Address, static_cast<uint16_t>(S.Fleet.MetricsPort)},
-              http::ServerOptions(),
-              [this](http::Request R, std::shared_ptr<http::Responder> A) {
-                if (R.path() != "/metrics")
-                  return A->whole(404, {}, "");
-                On.OnMetrics([this, A](std::string Page) {
-                  boost::asio::post(Io, [A, Page = std::move(Page)] {
-                    A->whole(200, {{"Content-Type", "text/plain"}}, Page);
-                  });
-                });
-              }),
+ProcessControl::ProcessControl(boost::asio::io_context &InIo,
+                               const Settings &InSettings, std::string InFile,
+                               ControlHandlers InHandlers)
+    : Io(InIo), Current(InSettings), File(std::move(InFile)),
+      On(std::move(InHandlers)), Log(InSettings.LogLinesPerSecond),
+      Signals(InIo, SIGTERM, SIGINT, SIGHUP), DrainTimer(InIo),
+      MetricsServer(
+          InIo,
+          {InSettings.Fleet.Address,
+           static_cast<uint16_t>(InSettings.Fleet.MetricsPort)},
+          http::ServerOptions(),
+          [this](http::Request Request,
+                 std::shared_ptr<http::Responder> Answer) {
+            if (Request.path() != "/metrics")
+              return Answer->whole(404, {}, "");
+            On.OnMetrics([this, Answer](std::string Page) {
+              boost::asio::post(Io, [Answer, Page = std::move(Page)] {
+                Answer->whole(200, {{"Content-Type", "text/plain"}}, Page);
+              });
+            });
+          }),
       NextFileCheck(presentTime().Steady + FileCheckInterval) {
-  Text = fileText();
-  log("start instance=" + S.InstanceName +
-      " role=" + (S.ProcessRole == Role::Entry ? "entry" : "side") +
-      " data_center=" + S.DataCenter + " store=" + S.Fleet.Store.text());
+  LastText = fileText();
+  log("start instance=" + InSettings.InstanceName +
+      " role=" + (InSettings.ProcessRole == Role::Entry ? "entry" : "side") +
+      " data_center=" + InSettings.DataCenter +
+      " store=" + InSettings.Fleet.Store.text());
   awaitSignal();
   drain();
 }
 
 ProcessControl::~ProcessControl() = default;
 
-void ProcessControl::flush() { Lines.finish(presentTime().Steady); }
+void ProcessControl::flush() { Log.finish(presentTime().Steady); }
 
 void ProcessControl::drain() {
-  const Time N = presentTime().Steady;
-  Lines.drain(N);
-  if (N >= NextFileCheck) {
-    NextFileCheck = N + FileCheckInterval;
+  const Time Now = presentTime().Steady;
+  Log.drain(Now);
+  if (Now >= NextFileCheck) {
+    NextFileCheck = Now + FileCheckInterval;
     reload("file_changed");
   }
   DrainTimer.expires_after(DrainInterval);
@@ -76,23 +81,24 @@
 }
 
 std::string ProcessControl::fileText() const {
-  std::ifstream In(File, std::ios::binary);
-  return {std::istreambuf_iterator<char>(In), std::istreambuf_iterator<char>()};
+  std::ifstream Stream(File, std::ios::binary);
+  return {std::istreambuf_iterator<char>(Stream),
+          std::istreambuf_iterator<char>()};
 }
 
 void ProcessControl::reload(std::string_view Why) {
-  std::string New = fileText();
-  if (New == Text || New.empty())
+  std::string NewText = fileText();
+  if (NewText == LastText || NewText.empty())
     return;
-  Text = std::move(New);
+  LastText = std::move(NewText);
   try {
-    Present = parseSettings(File, Text);
+    Current = parseSettings(File, LastText);
     log("reload outcome=taken why=" + std::string(Why));
-    On.OnSettings(Present);
-  } catch (const FindingError &Bad) {
-    // The settings in force stay in force.
+    On.OnSettings(Current);
+  } catch (const FindingError &Error) {
+    // The previous settings stay in force.
     log("reload outcome=refused why=" + std::string(Why) + " findings=\"" +
-        Bad.what() + "\"");
+        Error.what() + "\"");
   }
 }
 
--- a/daemon/process_control.h
+++ b/daemon/process_control.h
@@ -1,5 +1,6 @@
-// What the control threads of entry and side on the platform share: the log,
-// the metrics address, signals, and settings files that change.
+// The tasks that the control threads of entries and sides on the platform
+// share: writing the decision log, serving metrics, handling signals, and
+// reloading the settings file.
 //
 //   ProcessControl P(Io, Settings, File, {OnStop, OnSettings, OnMetrics});
 //   P.log("store state=lost ...");     // any thread
@@ -20,24 +21,26 @@
 
 /// All are called on the control thread.
 struct ControlHandlers {
+  /// SIGTERM or SIGINT was received.
   std::function<void()> OnStop;
   /// The settings file has changed and is valid.
   std::function<void(const Settings &)> OnSettings;
-  /// Answers a question for the metrics page, now or later.
+  /// Produces the metrics page and passes it to the given callback, before or
+  /// after returning. The callback is thread-safe.
   std::function<void(std::function<void(std::string)>)> OnMetrics;
 };
 
 /// log() is thread-safe; the rest is for the control thread.
 class ProcessControl {
 public:
-  ProcessControl(boost::asio::io_context &Io, const Settings &S,
+  ProcessControl(boost::asio::io_context &Io, const Settings &InSettings,
                  std::string File, ControlHandlers On);
   ~ProcessControl();
   void log(LineClass Class, std::string Line) {
-    Lines.push(Class, std::move(Line));
+    Log.push(Class, std::move(Line));
   }
   void log(std::string Line) { log(LineClass::Kept, std::move(Line)); }
-  /// Writes what is queued, at the end of the process.
+  /// Writes the queued lines; to be called when the process ends.
   void flush();
 
 private:
@@ -47,14 +50,14 @@
   std::string fileText() const;
 
   boost::asio::io_context &Io;
-  Settings Present;
+  Settings Current;
   std::string File;
-  std::string Text;
+  std::string LastText;
   ControlHandlers On;
-  DecisionLog Lines;
+  DecisionLog Log;
   boost::asio::signal_set Signals;
   boost::asio::steady_timer DrainTimer;
-  http::Server Metrics;
+  http::Server MetricsServer;
   Time NextFileCheck{};
 };
 
--- a/daemon/request_metrics.cc
+++ b/daemon/request_metrics.cc
@@ -1,5 +1,6 @@
-// Quantiles by Boost.Accumulators' P-square estimator, constant memory per
-// series. Series are bounded, since ranks and applications are declared.
+// Quantiles are estimated by Boost.Accumulators' P-square algorithm, in
+// constant memory per series. The number of series is bounded, since ranks and
+// applications are declared.
 #include "daemon/request_metrics.h"
 
 #include <sstream>
@@ -28,12 +29,13 @@
   uint64_t Total = 0;
   uint64_t WithinTarget = 0;
   uint64_t Attempts = 0;
-  std::map<std::string, uint64_t> Ends;
+  // By the text of the labels code and outcome.
+  std::map<std::string, uint64_t> EndCounts;
   Mean TotalMean;
-  Quantile Total50 = quantile(0.5);
-  Quantile Total99 = quantile(0.99);
-  Quantile First50 = quantile(0.5);
-  Quantile First99 = quantile(0.99);
+  Quantile TotalP50 = quantile(0.5);
+  Quantile TotalP99 = quantile(0.99);
+  Quantile FirstByteP50 = quantile(0.5);
+  Quantile FirstByteP99 = quantile(0.99);
 };
 
 RequestMetrics::RequestMetrics() { Queue.set_capacity(QueueRecords); }
@@ -57,15 +59,15 @@
     ++S.Total;
     S.WithinTarget += R.WithinTarget ? 1 : 0;
     S.Attempts += R.Attempts;
-    ++S.Ends[std::string(codeName(R.Why)) + "\",outcome=\"" +
-             std::string(outcomeName(R.Known))];
+    ++S.EndCounts[std::string(codeName(R.Why)) + "\",outcome=\"" +
+                  std::string(outcomeName(R.Known))];
     if (R.Why != Code::None)
       continue;
     S.TotalMean(seconds(R.Total));
-    S.Total50(seconds(R.Total));
-    S.Total99(seconds(R.Total));
-    S.First50(seconds(R.FirstByte));
-    S.First99(seconds(R.FirstByte));
+    S.TotalP50(seconds(R.Total));
+    S.TotalP99(seconds(R.Total));
+    S.FirstByteP50(seconds(R.FirstByte));
+    S.FirstByteP99(seconds(R.FirstByte));
   }
 }
 
@@ -81,19 +83,19 @@
     Line("requests_total", "", S->Total);
     Line("requests_within_target_total", "", S->WithinTarget);
     Line("attempts_total", "", S->Attempts);
-    for (const auto &[End, Count] : S->Ends)
+    for (const auto &[End, Count] : S->EndCounts)
       Line("request_ends_total", ",code=\"" + End + "\"", Count);
     if (acc::count(S->TotalMean) == 0)
       continue;
     Line("answer_seconds_mean", "", acc::mean(S->TotalMean));
     Line("answer_seconds", ",quantile=\"0.5\"",
-         acc::p_square_quantile(S->Total50));
+         acc::p_square_quantile(S->TotalP50));
     Line("answer_seconds", ",quantile=\"0.99\"",
-         acc::p_square_quantile(S->Total99));
+         acc::p_square_quantile(S->TotalP99));
     Line("first_byte_seconds", ",quantile=\"0.5\"",
-         acc::p_square_quantile(S->First50));
+         acc::p_square_quantile(S->FirstByteP50));
     Line("first_byte_seconds", ",quantile=\"0.99\"",
-         acc::p_square_quantile(S->First99));
+         acc::p_square_quantile(S->FirstByteP99));
   }
   Out << "goldcrestlink_metric_records_dropped_total " << Dropped << "\n";
   return Out.str();
--- a/daemon/request_metrics.h
+++ b/daemon/request_metrics.h
@@ -1,5 +1,6 @@
-// Metrics of an entry: per rank and application counts, latencies and refusals
-// by cause. Traffic threads queue records; the control thread takes them in.
+// Metrics of an entry by rank and application: counts, latencies, and request
+// ends by cause. Traffic threads queue records; the control thread aggregates
+// them.
 //
 //   RequestMetrics M;
 //   M.push(Record);                 // any thread
@@ -23,8 +24,10 @@
 public:
   RequestMetrics();
   ~RequestMetrics();
+  /// Queues a record, or counts it as dropped if the queue is full. Never
+  /// blocks.
   void push(entry::RequestRecord Record);
-  /// Takes in what is queued.
+  /// Aggregates the queued records.
   void collect();
   /// Prometheus text.
   std::string text() const;
--- a/daemon/shard_keeper.cc
+++ b/daemon/shard_keeper.cc
@@ -1,49 +1,51 @@
-// One platform call at a time. A write whose answer is lost counts as failed:
-// the next read shows what it did, and the lease is never longer than what an
-// answered write allows.
+// One platform call is open at a time. A write whose response is lost counts as
+// failed: the next read shows whether it took effect, and the lease never lasts
+// longer than the last acknowledged write allows.
 #include "daemon/shard_keeper.h"
 
 namespace goldcrestlink {
 
-ShardKeeper::ShardKeeper(ObjectClient &Client, std::string Name,
-                         ShardLease TheLease, OnEffects OnReport)
-    : Platform(Client), Object(std::move(Name)), Lease(std::move(TheLease)),
-      Report(std::move(OnReport)) {}
+ShardLeaseManager::ShardLeaseManager(ObjectClient &Client,
+                                     std::string InTableName,
+                                     ShardLease InLease, OnEffects InReport)
+    : Platform(Client), TableName(std::move(InTableName)),
+      Lease(std::move(InLease)), ReportEffects(std::move(InReport)) {}
 
-void ShardKeeper::step(Time N) {
-  if (Busy || !Lease.due(N) || Lease.released())
+void ShardLeaseManager::step(Time Now) {
+  if (CallPending || !Lease.due(Now) || Lease.released())
     return;
-  Busy = true;
-  Platform.read(Object, [this](ObjectStatus Status, const ObjectValue &Value) {
-    onRead(Status, Value);
-  });
+  CallPending = true;
+  Platform.read(TableName,
+                [this](ObjectStatus Status, const ObjectValue &Value) {
+                  onRead(Status, Value);
+                });
 }
 
-void ShardKeeper::onRead(ObjectStatus Status, const ObjectValue &Value) {
+void ShardLeaseManager::onRead(ObjectStatus Status, const ObjectValue &Value) {
   const Time ReadAt = presentTime().Steady;
   wire::ShardTable Table;
   const bool Readable =
       Status == ObjectStatus::NotFound ||
       (Status == ObjectStatus::Ok && Table.ParseFromString(Value.Body));
   if (!Readable) {
-    Busy = false;
+    CallPending = false;
     return Lease.onFailed(ReadAt);
   }
-  ShardEffects Before;
-  Lease.plan(ReadAt, Table, Before);
-  Report(std::move(Before));
+  ShardEffects PlannedEffects;
+  Lease.plan(ReadAt, Table, PlannedEffects);
+  ReportEffects(std::move(PlannedEffects));
   const uint64_t Version = Status == ObjectStatus::Ok ? Value.Version : 0;
   const Time SentAt = presentTime().Steady;
   Platform.put(
-      Object, Version, Table.SerializeAsString(),
-      [this, Table, SentAt](ObjectStatus Written, const ObjectValue &) {
-        Busy = false;
-        const Time N = presentTime().Steady;
-        if (Written != ObjectStatus::Ok)
-          return Lease.onFailed(N);
-        ShardEffects After;
-        Lease.onWritten(SentAt, N, Table, After);
-        Report(std::move(After));
+      TableName, Version, Table.SerializeAsString(),
+      [this, Table, SentAt](ObjectStatus WriteStatus, const ObjectValue &) {
+        CallPending = false;
+        const Time Now = presentTime().Steady;
+        if (WriteStatus != ObjectStatus::Ok)
+          return Lease.onFailed(Now);
+        ShardEffects WrittenEffects;
+        Lease.onWritten(SentAt, Now, Table, WrittenEffects);
+        ReportEffects(std::move(WrittenEffects));
       });
 }
 
--- a/daemon/shard_keeper.h
+++ b/daemon/shard_keeper.h
@@ -1,5 +1,9 @@
-// Runs a ShardLease against the platform, on the control thread: reads the
-// table, plans, writes it conditionally, and reports the effects.
+// Acquires and renews the shard leases of one service on the control thread:
+// reads the shard table from the platform, has ShardLease plan the changes,
+// writes the table conditionally, and reports the effects.
+//
+//   ShardLeaseManager Leases(Platform, TableName, std::move(Lease), OnEffects);
+//   Leases.step(Now);                  // several times a second
 #ifndef GOLDCRESTLINK_DAEMON_SHARD_KEEPER_H
 #define GOLDCRESTLINK_DAEMON_SHARD_KEEPER_H
 
@@ -13,17 +17,19 @@
 namespace goldcrestlink {
 
 /// Not thread-safe.
-class ShardKeeper {
+class ShardLeaseManager {
 public:
   using OnEffects = std::function<void(ShardEffects)>;
-  /// \p Object is the table's name on the platform.
-  ShardKeeper(ObjectClient &Platform, std::string Object, ShardLease Lease,
-              OnEffects Report);
-  /// To be called several times a second.
-  void step(Time N);
-  void onGone(Time N, const std::set<std::string> &Gone) {
-    Lease.onGone(N, Gone);
+  /// \p TableName is the name of the shard table's object on the platform.
+  ShardLeaseManager(ObjectClient &Platform, std::string TableName,
+                    ShardLease Lease, OnEffects ReportEffects);
+  /// Starts a round if one is due. To be called several times a second.
+  void step(Time Now);
+  /// The named upstreams have left the list of instances.
+  void onGone(Time Now, const std::set<std::string> &Gone) {
+    Lease.onGone(Now, Gone);
   }
+  /// Releases all shards; released() tells when this is done.
   void release() { Lease.release(); }
   bool released() const { return Lease.released(); }
 
@@ -31,10 +37,10 @@
   void onRead(ObjectStatus Status, const ObjectValue &Value);
 
   ObjectClient &Platform;
-  std::string Object;
+  std::string TableName;
   ShardLease Lease;
-  OnEffects Report;
-  bool Busy = false;
+  OnEffects ReportEffects;
+  bool CallPending = false;
 };
 
 } // namespace goldcrestlink
--- a/daemon/side_daemon.cc
+++ b/daemon/side_daemon.cc
@@ -1,7 +1,8 @@
-// The control thread is the calling thread. Few sides per cell talk to the
-// platform for all: the first WatchersPerCell in a rendezvous order watch the
-// configuration and the list of instances and pass on what is new; every side
-// also asks one other side per second, so that a missed message heals.
+// The control thread is the calling thread. Only a few sides per cell read from
+// the platform: the first WatchersPerCell sides in rendezvous order watch the
+// configuration and the list of instances and send updates to the other sides.
+// Every side also requests updates from one other side per second, which makes
+// up for lost messages.
 #include "daemon/side_daemon.h"
 
 #include <algorithm>
@@ -31,226 +32,238 @@
 constexpr Duration StepInterval = std::chrono::milliseconds(100);
 constexpr Duration PeerPollInterval = std::chrono::seconds(1);
 constexpr Duration ReportInterval = std::chrono::seconds(5);
-constexpr Duration ListInterval = std::chrono::seconds(1);
-// Time for the last answers to leave once nothing is in progress.
+constexpr Duration InstancePollInterval = std::chrono::seconds(1);
+// Time to send the last responses once no work is in progress.
 constexpr Duration StopFlush = std::chrono::milliseconds(300);
 
 class SideControl {
 public:
-  explicit SideControl(const Settings &Given)
-      : S(Given), Seed(freshSeed()), Log(S.LogLinesPerSecond),
-        Platform(Io, S.Platform),
-        Keeper(
+  explicit SideControl(const Settings &InSettings)
+      : ProcessSettings(InSettings), Seed(freshSeed()),
+        Log(ProcessSettings.LogLinesPerSecond),
+        Platform(Io, ProcessSettings.Platform),
+        Updater(
             Io, Platform, Seed,
-            [this](std::shared_ptr<const Declarations> D) { publish(D); },
-            [this](const std::string &Peer, const wire::ConfigRequest &R) {
-              ask(Peer, R);
+            [this](std::shared_ptr<const Declarations> Config) {
+              publish(Config);
+            },
+            [this](const std::string &Peer,
+                   const wire::ConfigRequest &Request) {
+              requestConfig(Peer, Request);
             }),
-        Status(Platform, S.Cell), Signals(Io, SIGTERM, SIGINT), StepTimer(Io),
-        Traffic(S, Seed, Context, sinks()),
-        Listener(Io, S.Listen, http::ServerOptions(),
+        Status(Platform, ProcessSettings.Cell), Signals(Io, SIGTERM, SIGINT),
+        StepTimer(Io), Traffic(ProcessSettings, Seed, Context, makeSinks()),
+        Listener(Io, ProcessSettings.Listen, http::ServerOptions(),
                  [this](http::Request R, std::shared_ptr<http::Responder> A) {
                    onHttp(R, *A);
                  }) {}
 
   int run() {
     std::thread Thread([this] { Traffic.run(); });
-    Keeper.start();
+    Updater.start();
     step();
     Signals.async_wait([this](boost::system::error_code Error, int) {
       if (!Error)
         beginStop();
     });
-    LOG(INFO) << "side " << S.InstanceName << " beside " << S.Upstream
-              << " listens on " << S.SideListen.text();
+    LOG(INFO) << "side " << ProcessSettings.InstanceName << " beside "
+              << ProcessSettings.Upstream << " listens on "
+              << ProcessSettings.SideListen.text();
     Io.run();
     Traffic.stop();
     Thread.join();
     Log.finish(presentTime().Steady);
-    LOG(INFO) << "side " << S.InstanceName << " stopped";
+    LOG(INFO) << "side " << ProcessSettings.InstanceName << " stopped";
     return 0;
   }
 
 private:
-  SideSinks sinks() {
+  SideSinks makeSinks() {
     SideSinks Out;
     Out.Log = [this](LineClass Class, std::string Line) {
       Log.push(Class, std::move(Line));
     };
-    Out.Control = [this](const std::string &Peer, const wire::Envelope &E,
+    Out.Control = [this](const std::string &Peer, const wire::Envelope &Message,
                          std::function<void(wire::Envelope)> Reply) {
-      boost::asio::post(Io,
-                        [this, Peer, E, Reply] { onMessage(Peer, E, Reply); });
+      boost::asio::post(Io, [this, Peer, Message, Reply] {
+        onMessage(Peer, Message, Reply);
+      });
     };
     return Out;
   }
 
-  wire::Envelope envelope() const {
-    wire::Envelope E;
-    E.set_generation(Keeper.replica().generation());
-    return E;
+  wire::Envelope newEnvelope() const {
+    wire::Envelope Message;
+    Message.set_generation(Updater.replica().generation());
+    return Message;
   }
 
-  void ask(const std::string &Peer, const wire::ConfigRequest &Request) {
-    wire::Envelope E = envelope();
-    *E.mutable_config_request() = Request;
-    Traffic.tell(Peer, std::move(E));
+  void requestConfig(const std::string &Peer,
+                     const wire::ConfigRequest &Request) {
+    wire::Envelope Message = newEnvelope();
+    *Message.mutable_config_request() = Request;
+    Traffic.send(Peer, std::move(Message));
   }
 
-  void publish(const std::shared_ptr<const Declarations> &D) {
-    Traffic.publish(D);
-    const UpstreamDecl *Self = D->upstream(S.Upstream);
-    if (Self && Self->Kind == UpstreamKind::Service && !Shards)
-      startShards(*D, *Self);
-    Watcher = false;
+  void publish(const std::shared_ptr<const Declarations> &Config) {
+    Traffic.publish(Config);
+    const UpstreamDecl *Self = Config->upstream(ProcessSettings.Upstream);
+    if (Self && Self->Kind == UpstreamKind::Service && !ShardLeases)
+      startShardLeases(*Config, *Self);
+    IsWatcher = false;
     StatusWriter.clear();
-    for (const UpstreamDecl *U : cellWatchers(*D, S.Cell)) {
-      Watcher |= U->Name == S.Upstream;
+    for (const UpstreamDecl *U : cellWatchers(*Config, ProcessSettings.Cell)) {
+      IsWatcher |= U->Name == ProcessSettings.Upstream;
       if (StatusWriter.empty())
         StatusWriter = U->Name;
     }
-    Keeper.setWatching(Watcher);
-    if (!Watcher)
+    Updater.setWatching(IsWatcher);
+    if (!IsWatcher)
       return;
-    wire::Envelope E = envelope();
-    E.mutable_config_reply()->set_head(Keeper.replica().headText());
-    Traffic.tellCell(std::move(E));
+    wire::Envelope Message = newEnvelope();
+    Message.mutable_config_reply()->set_head(Updater.replica().headText());
+    Traffic.sendToCell(std::move(Message));
   }
 
-  void startShards(const Declarations &D, const UpstreamDecl &Self) {
-    const auto Members = D.group(UpstreamKind::Service, Self.Group, {}).size();
+  void startShardLeases(const Declarations &Config, const UpstreamDecl &Self) {
+    const auto Members =
+        Config.group(UpstreamKind::Service, Self.Group, {}).size();
     ShardLease Lease(
         ShardLease::Options()
-            .setLease(D.policy().Lease)
-            .setShards(static_cast<uint32_t>(D.policy().ShardsPerService))
+            .setLease(Config.policy().Lease)
+            .setShards(static_cast<uint32_t>(Config.policy().ShardsPerService))
             .setDeclaredMembers(Members),
-        S.Upstream, Seed);
-    Shards = std::make_unique<ShardKeeper>(
+        ProcessSettings.Upstream, Seed);
+    ShardLeases = std::make_unique<ShardLeaseManager>(
         Platform, objects::shardTable(Self.Group), std::move(Lease),
         [this](ShardEffects Effects) {
           Traffic.applyShards(std::move(Effects));
         });
   }
 
-  void onMessage(const std::string &Peer, const wire::Envelope &E,
+  void onMessage(const std::string &Peer, const wire::Envelope &Message,
                  const std::function<void(wire::Envelope)> &Reply) {
-    if (E.has_config_request())
-      return answer(E, Reply);
-    if (E.has_config_reply())
-      return Keeper.onPeerReply(Peer, E.config_reply());
-    if (E.has_membership())
-      return adoptMembership(E.membership());
-    const Time N = presentTime().Steady;
-    if (E.has_report())
-      return Status.note(N, E.report());
-    if (E.generation() > Keeper.replica().generation() && N >= NextAsk) {
-      NextAsk = N + StepInterval;
-      ask(Peer, wire::ConfigRequest());
+    if (Message.has_config_request())
+      return answerConfigRequest(Message, Reply);
+    if (Message.has_config_reply())
+      return Updater.onPeerReply(Peer, Message.config_reply());
+    if (Message.has_membership())
+      return applyMembership(Message.membership());
+    const Time Now = presentTime().Steady;
+    if (Message.has_report())
+      return Status.record(Now, Message.report());
+    if (Message.generation() > Updater.replica().generation() &&
+        Now >= NextConfigRequest) {
+      NextConfigRequest = Now + StepInterval;
+      requestConfig(Peer, wire::ConfigRequest());
     }
   }
 
-  void answer(const wire::Envelope &E,
-              const std::function<void(wire::Envelope)> &Reply) {
-    wire::Envelope Answer = envelope();
+  void answerConfigRequest(const wire::Envelope &Message,
+                           const std::function<void(wire::Envelope)> &Reply) {
+    wire::Envelope Answer = newEnvelope();
     *Answer.mutable_config_reply() =
-        Keeper.answer(E.config_request(), E.generation());
+        Updater.answer(Message.config_request(), Message.generation());
     Reply(std::move(Answer));
     if (Membership.revision() == 0)
       return;
-    wire::Envelope Members = envelope();
+    wire::Envelope Members = newEnvelope();
     *Members.mutable_membership() = Membership;
     Reply(std::move(Members));
   }
 
-  // Revisions are Unix milliseconds of the list's reading, by whichever
-  // watcher read it; a later reading wins.
-  void adoptMembership(const wire::MembershipNotice &M) {
-    if (M.revision() <= Membership.revision())
+  // A revision is the Unix time in milliseconds at which a watcher read the
+  // list; the notice with the latest revision wins.
+  void applyMembership(const wire::MembershipNotice &Notice) {
+    if (Notice.revision() <= Membership.revision())
       return;
-    Membership = M;
-    const auto &Leaving = M.leaving();
-    const bool SelfLeaving =
-        std::find(Leaving.begin(), Leaving.end(), S.Upstream) != Leaving.end();
-    Traffic.setDraining(SelfLeaving || Stopping);
-    if (Shards)
-      Shards->onGone(presentTime().Steady,
-                     std::set<std::string>(M.gone().begin(), M.gone().end()));
+    Membership = Notice;
+    const auto &Draining = Notice.leaving();
+    const bool SelfDraining =
+        std::find(Draining.begin(), Draining.end(), ProcessSettings.Upstream) !=
+        Draining.end();
+    Traffic.setDraining(SelfDraining || Stopping);
+    if (ShardLeases)
+      ShardLeases->onGone(
+          presentTime().Steady,
+          std::set<std::string>(Notice.gone().begin(), Notice.gone().end()));
   }
 
-  void readList() {
+  void readInstances() {
     Platform.instances([this](const std::vector<InstanceRow> *Rows) {
       if (!Rows || Rows->empty())
         return;
-      std::set<std::string> Present;
-      wire::MembershipNotice M;
+      std::set<std::string> Listed;
+      wire::MembershipNotice Notice;
       for (const InstanceRow &Row : *Rows) {
-        Present.insert(Row.Name);
+        Listed.insert(Row.Name);
         EverListed.insert(Row.Name);
         if (Row.Leaving)
-          M.add_leaving(Row.Name);
+          Notice.add_leaving(Row.Name);
       }
       for (const std::string &Name : EverListed)
-        if (!Present.count(Name))
-          M.add_gone(Name);
-      std::string Text = M.SerializeAsString();
-      if (Text == LastList)
+        if (!Listed.count(Name))
+          Notice.add_gone(Name);
+      std::string SerializedNotice = Notice.SerializeAsString();
+      if (SerializedNotice == LastSerializedNotice)
         return;
-      LastList = std::move(Text);
-      M.set_revision(static_cast<uint64_t>(unixMillis(presentTime().Wall)));
-      adoptMembership(M);
-      wire::Envelope E = envelope();
-      *E.mutable_membership() = M;
-      Traffic.tellCell(std::move(E));
+      LastSerializedNotice = std::move(SerializedNotice);
+      Notice.set_revision(
+          static_cast<uint64_t>(unixMillis(presentTime().Wall)));
+      applyMembership(Notice);
+      wire::Envelope Message = newEnvelope();
+      *Message.mutable_membership() = Notice;
+      Traffic.sendToCell(std::move(Message));
     });
   }
 
   void pollPeers() {
-    wire::Envelope E = envelope();
-    E.mutable_config_request();
-    if (Keeper.replica().current())
-      return Traffic.tellAny(E);
-    for (const http::Endpoint &Peer : S.Peers)
-      Traffic.tell(Peer.text(), E);
+    wire::Envelope Message = newEnvelope();
+    Message.mutable_config_request();
+    if (Updater.replica().current())
+      return Traffic.sendToAny(Message);
+    for (const http::Endpoint &Peer : ProcessSettings.Peers)
+      Traffic.send(Peer.text(), Message);
   }
 
-  void report(Time N) {
-    const SideSummary Sum = Traffic.summary();
-    wire::Envelope E = envelope();
-    wire::ProcessReport &R = *E.mutable_report();
-    R.set_name(S.InstanceName);
-    R.set_upstream(S.Upstream);
-    R.set_generation(Keeper.replica().generation());
-    R.set_ready(Sum.Ready);
-    R.set_upstream_down(Sum.UpstreamDown);
-    R.set_running(static_cast<uint32_t>(Sum.Running));
-    R.set_waiting(static_cast<uint32_t>(Sum.Waiting));
-    if (StatusWriter == S.Upstream)
-      Status.note(N, R);
+  void report(Time Now) {
+    const SideSummary Summary = Traffic.summary();
+    wire::Envelope Message = newEnvelope();
+    wire::ProcessReport &Report = *Message.mutable_report();
+    Report.set_name(ProcessSettings.InstanceName);
+    Report.set_upstream(ProcessSettings.Upstream);
+    Report.set_generation(Updater.replica().generation());
+    Report.set_ready(Summary.Ready);
+    Report.set_upstream_down(Summary.UpstreamDown);
+    Report.set_running(static_cast<uint32_t>(Summary.Running));
+    Report.set_waiting(static_cast<uint32_t>(Summary.Waiting));
+    if (StatusWriter == ProcessSettings.Upstream)
+      Status.record(Now, Report);
     else if (!StatusWriter.empty())
-      Traffic.tell(StatusWriter, std::move(E));
+      Traffic.send(StatusWriter, std::move(Message));
   }
 
   void step() {
-    const Time N = presentTime().Steady;
-    Log.drain(N);
-    if (Shards)
-      Shards->step(N);
-    if (N >= NextPoll) {
-      NextPoll = N + PeerPollInterval;
+    const Time Now = presentTime().Steady;
+    Log.drain(Now);
+    if (ShardLeases)
+      ShardLeases->step(Now);
+    if (Now >= NextPoll) {
+      NextPoll = Now + PeerPollInterval;
       pollPeers();
     }
-    if (Watcher && N >= NextList) {
-      NextList = N + ListInterval;
-      readList();
+    if (IsWatcher && Now >= NextInstancePoll) {
+      NextInstancePoll = Now + InstancePollInterval;
+      readInstances();
     }
-    if (N >= NextReport) {
-      NextReport = N + ReportInterval;
-      report(N);
+    if (Now >= NextReport) {
+      NextReport = Now + ReportInterval;
+      report(Now);
     }
-    if (StatusWriter == S.Upstream)
-      Status.step(N);
+    if (StatusWriter == ProcessSettings.Upstream)
+      Status.step(Now);
     if (Stopping)
-      stepStop(N);
+      stepStop(Now);
     StepTimer.expires_after(StepInterval);
     StepTimer.async_wait([this](boost::system::error_code Error) {
       if (!Error)
@@ -259,62 +272,64 @@
   }
 
   void beginStop() {
-    LOG(INFO) << "stopping: takes no new work";
+    LOG(INFO) << "stopping: accepts no new work";
     Stopping = true;
     Traffic.setDraining(true);
-    StopDeadline = presentTime().Steady + S.DrainTimeout;
+    StopDeadline = presentTime().Steady + ProcessSettings.DrainTimeout;
   }
 
-  // Drained work first, then the shards are given up, then the flush.
-  void stepStop(Time N) {
+  // Waits until all work is drained, then until the shards are released, then
+  // for StopFlush.
+  void stepStop(Time Now) {
     const bool Drained = Traffic.summary().Drained;
-    if (Drained && Shards && !ReleaseAsked) {
-      ReleaseAsked = true;
-      Shards->release();
+    if (Drained && ShardLeases && !ReleaseRequested) {
+      ReleaseRequested = true;
+      ShardLeases->release();
     }
-    const bool Free = !Shards || Shards->released();
-    if (!Drained || !Free)
+    const bool Released = !ShardLeases || ShardLeases->released();
+    if (!Drained || !Released)
       DrainedSince = Time{};
     else if (DrainedSince == Time{})
-      DrainedSince = N;
+      DrainedSince = Now;
     const bool Flushed =
-        DrainedSince != Time{} && N - DrainedSince >= StopFlush;
-    if (Flushed || N >= StopDeadline)
+        DrainedSince != Time{} && Now - DrainedSince >= StopFlush;
+    if (Flushed || Now >= StopDeadline)
       Io.stop();
   }
 
   void onHttp(const http::Request &R, http::Responder &Answer) {
-    const SideSummary Sum = Traffic.summary();
+    const SideSummary Summary = Traffic.summary();
     if (R.path() == "/healthz")
       return Answer.whole(200, {}, "ok\n");
     if (R.path() == "/readyz")
-      return Answer.whole(Sum.Ready ? 200 : 503, {}, "");
+      return Answer.whole(Summary.Ready ? 200 : 503, {}, "");
     if (R.path() != "/metrics" && R.path() != "/status")
       return Answer.whole(404, {}, "");
-    const side::SideCounters &C = Sum.Counters;
+    const side::SideCounters &Counters = Summary.Counters;
     std::ostringstream Out;
     const auto Line = [&](const char *Name, auto Value) {
-      Out << "goldcrestlink_side_" << Name << "{upstream=\"" << S.Upstream
-          << "\"} " << Value << "\n";
+      Out << "goldcrestlink_side_" << Name << "{upstream=\""
+          << ProcessSettings.Upstream << "\"} " << Value << "\n";
     };
-    Line("generation", Keeper.replica().generation());
-    Line("upstream_down", Sum.UpstreamDown ? 1 : 0);
-    Line("running", Sum.Running);
-    Line("waiting", Sum.Waiting);
-    Line("keys", Sum.Keys);
-    Line("bad_frames_total", Sum.BadFrames);
-    Line("admitted_total", C.Admitted);
-    Line("refused_total", C.Refused);
-    Line("finished_total", C.Finished);
-    Line("failed_total", C.Failed);
-    Line("loads_total", C.Loads);
-    Line("load_failures_total", C.LoadFailures);
-    Line("crashes_total", C.Crashes);
-    Line("running_at_starts_total", C.RunningAtStarts);
-    for (const side::RankCounters &R : C.Ranks) {
+    Line("generation", Updater.replica().generation());
+    Line("upstream_down", Summary.UpstreamDown ? 1 : 0);
+    Line("running", Summary.Running);
+    Line("waiting", Summary.Waiting);
+    Line("keys", Summary.Keys);
+    Line("bad_frames_total", Summary.BadFrames);
+    Line("admitted_total", Counters.Admitted);
+    Line("refused_total", Counters.Refused);
+    Line("finished_total", Counters.Finished);
+    Line("failed_total", Counters.Failed);
+    Line("loads_total", Counters.Loads);
+    Line("load_failures_total", Counters.LoadFailures);
+    Line("crashes_total", Counters.Crashes);
+    Line("running_at_starts_total", Counters.RunningAtStarts);
+    for (const side::RankCounters &R : Counters.Ranks) {
       const auto RankLine = [&](const char *Name, uint64_t Value) {
-        Out << "goldcrestlink_side_" << Name << "{upstream=\"" << S.Upstream
-            << "\",rank=\"" << R.Rank << "\"} " << Value << "\n";
+        Out << "goldcrestlink_side_" << Name << "{upstream=\""
+            << ProcessSettings.Upstream << "\",rank=\"" << R.Rank << "\"} "
+            << Value << "\n";
       };
       RankLine("started_total", R.Started);
       RankLine("waited_us_total", R.WaitedUs);
@@ -324,36 +339,40 @@
     Answer.whole(200, {{"Content-Type", "text/plain"}}, Out.str());
   }
 
-  Settings S;
+  Settings ProcessSettings;
   uint64_t Seed;
   boost::asio::io_context Io{1};
   zmq::context_t Context{1};
   DecisionLog Log;
   ObjectClient Platform;
-  ConfigKeeper Keeper;
+  ConfigUpdater Updater;
   CellStatus Status;
   boost::asio::signal_set Signals;
   boost::asio::steady_timer StepTimer;
   SideTraffic Traffic;
   http::Server Listener;
-  std::unique_ptr<ShardKeeper> Shards;
+  std::unique_ptr<ShardLeaseManager> ShardLeases;
   wire::MembershipNotice Membership;
+  // Every instance that has been in the list since this process started.
   std::set<std::string> EverListed;
-  std::string LastList;
+  std::string LastSerializedNotice;
+  // The side that writes the cell's status.
   std::string StatusWriter;
-  bool Watcher = false;
+  bool IsWatcher = false;
   bool Stopping = false;
-  bool ReleaseAsked = false;
+  bool ReleaseRequested = false;
   Time NextReport{};
   Time NextPoll{};
-  Time NextList{};
-  Time NextAsk{};
+  Time NextInstancePoll{};
+  Time NextConfigRequest{};
   Time StopDeadline{};
   Time DrainedSince{};
 };
 
 } // namespace
 
-int runSide(const Settings &S) { return SideControl(S).run(); }
+int runSide(const Settings &ProcessSettings) {
+  return SideControl(ProcessSettings).run();
+}
 
 } // namespace goldcrestlink
--- a/daemon/side_daemon.h
+++ b/daemon/side_daemon.h
@@ -1,4 +1,4 @@
-// The side role: one traffic thread, and the control thread that keeps its
+// The side role: one traffic thread, and the control thread that maintains its
 // configuration, leases, membership, log and metrics.
 #ifndef GOLDCRESTLINK_DAEMON_SIDE_DAEMON_H
 #define GOLDCRESTLINK_DAEMON_SIDE_DAEMON_H
@@ -9,7 +9,7 @@
 
 /// Serves until SIGTERM or SIGINT, then stops gracefully. Returns the exit
 /// code. Throws std::runtime_error if it cannot start.
-int runSide(const Settings &S);
+int runSide(const Settings &ProcessSettings);
 
 } // namespace goldcrestlink
 
--- a/daemon/side_link.cc
+++ b/daemon/side_link.cc
@@ -1,42 +1,47 @@
-// Waiting messages are bounded by MaxWaiting. A reset closes the socket, and
-// with it whatever ZeroMQ still held, so nothing old is sent afterwards.
+// The queue is bounded by MaxQueuedMessages. A reset closes the socket and with
+// it discards the messages that ZeroMQ had buffered, so that none of them is
+// sent afterwards.
 #include "daemon/side_link.h"
 
 namespace goldcrestlink {
 
 namespace {
-constexpr size_t MaxWaiting = 256;
+constexpr size_t MaxQueuedMessages = 256;
 } // namespace
 
-SideLink::SideLink(boost::asio::io_context &OnIo, zmq::context_t &InContext,
-                   std::string ToAddress, std::string FromSource,
-                   wire::DealerSocket::OnMessage OnMessage)
-    : Io(OnIo), Context(InContext), Address(std::move(ToAddress)),
-      Source(std::move(FromSource)), On(std::move(OnMessage)) {
+SideConnection::SideConnection(boost::asio::io_context &InIo,
+                               zmq::context_t &InContext, std::string InAddress,
+                               std::string InSourceAddress,
+                               wire::DealerSocket::OnMessage InMessageHandler)
+    : Io(InIo), Context(InContext), Address(std::move(InAddress)),
+      SourceAddress(std::move(InSourceAddress)),
+      MessageHandler(std::move(InMessageHandler)) {
   open();
 }
 
-void SideLink::open() { Socket.emplace(Io, Context, Address, Source, On); }
+void SideConnection::open() {
+  Socket.emplace(Io, Context, Address, SourceAddress, MessageHandler);
+}
 
-bool SideLink::sendNow(wire::Envelope &Message) {
+bool SideConnection::trySend(wire::Envelope &Message) {
   return Socket->send(Message);
 }
 
-void SideLink::sendSoon(wire::Envelope &Message) {
-  if (Waiting.empty() && Socket->send(Message))
+void SideConnection::sendOrQueue(wire::Envelope &Message) {
+  if (Queued.empty() && Socket->send(Message))
     return;
-  if (Waiting.size() >= MaxWaiting)
-    Waiting.pop_front();
-  Waiting.push_back(Message);
+  if (Queued.size() >= MaxQueuedMessages)
+    Queued.pop_front();
+  Queued.push_back(Message);
 }
 
-void SideLink::flush() {
-  while (!Waiting.empty() && Socket->send(Waiting.front()))
-    Waiting.pop_front();
+void SideConnection::flush() {
+  while (!Queued.empty() && Socket->send(Queued.front()))
+    Queued.pop_front();
 }
 
-void SideLink::reset() {
-  Waiting.clear();
+void SideConnection::reset() {
+  Queued.clear();
   Socket.reset();
   open();
 }
--- a/daemon/side_link.h
+++ b/daemon/side_link.h
@@ -1,8 +1,10 @@
-// A connection from this process to one side, which can be opened anew. Sends
-// of attempts fail when no connection stands; other messages wait for a while.
+// A connection from this process to one side, which can be reopened; entries
+// also use it to reach other entries. A message is either sent only if the
+// connection is up, as attempts are, or queued until the connection takes it.
 //
-//   SideLink L(Io, Context, "127.0.0.1:7000", "", OnMessage);
-//   if (!L.sendNow(Attempt)) ...;  L.sendSoon(Resume);  L.flush();
+//   SideConnection Side(Io, Context, "127.0.0.1:7000", "", OnMessage);
+//   if (!Side.trySend(Attempt)) ...;
+//   Side.sendOrQueue(Resume);  Side.flush();
 #ifndef GOLDCRESTLINK_DAEMON_SIDE_LINK_H
 #define GOLDCRESTLINK_DAEMON_SIDE_LINK_H
 
@@ -16,19 +18,21 @@
 namespace goldcrestlink {
 
 /// Not thread-safe.
-class SideLink {
+class SideConnection {
 public:
-  SideLink(boost::asio::io_context &Io, zmq::context_t &Context,
-           std::string Address, std::string Source,
-           wire::DealerSocket::OnMessage On);
-  /// Sends now; false if no connection stands.
-  bool sendNow(wire::Envelope &Message);
-  /// Sends now, or with one of the next flushes. The oldest waiting message
-  /// is dropped when too many wait.
-  void sendSoon(wire::Envelope &Message);
-  /// Sends what waits. To be called every few milliseconds.
+  /// Connects to \p Address from the local address \p SourceAddress, or from
+  /// any if that is empty.
+  SideConnection(boost::asio::io_context &Io, zmq::context_t &Context,
+                 std::string Address, std::string SourceAddress,
+                 wire::DealerSocket::OnMessage MessageHandler);
+  /// Sends at once; returns false if the connection is down.
+  bool trySend(wire::Envelope &Message);
+  /// Sends at once, or queues the message for one of the next flushes. The
+  /// oldest queued message is dropped when the queue is full.
+  void sendOrQueue(wire::Envelope &Message);
+  /// Sends queued messages. To be called every few milliseconds.
   void flush();
-  /// Closes the connection and opens another. Waiting messages are dropped.
+  /// Closes the connection and opens a new one. Queued messages are dropped.
   void reset();
   const std::string &address() const { return Address; }
 
@@ -38,10 +42,10 @@
   boost::asio::io_context &Io;
   zmq::context_t &Context;
   std::string Address;
-  std::string Source;
-  wire::DealerSocket::OnMessage On;
+  std::string SourceAddress;
+  wire::DealerSocket::OnMessage MessageHandler;
   std::optional<wire::DealerSocket> Socket;
-  std::deque<wire::Envelope> Waiting;
+  std::deque<wire::Envelope> Queued;
 };
 
 } // namespace goldcrestlink
--- a/daemon/side_links.cc
+++ b/daemon/side_links.cc
@@ -1,47 +1,51 @@
-// A map by name. Bounded by the declared upstreams and the settings' peers.
+// A map by name, bounded by the declared upstreams and the peers in the
+// settings.
 #include "daemon/side_links.h"
 
 namespace goldcrestlink {
 
-SideLinks::SideLinks(boost::asio::io_context &OnIo, zmq::context_t &InContext,
-                     std::string FromSource, OnMessage OnAny)
-    : Io(OnIo), Context(InContext), Source(std::move(FromSource)),
-      On(std::move(OnAny)) {}
+SideConnectionPool::SideConnectionPool(boost::asio::io_context &InIo,
+                                       zmq::context_t &InContext,
+                                       std::string InSourceAddress,
+                                       OnMessage InMessageHandler)
+    : Io(InIo), Context(InContext), SourceAddress(std::move(InSourceAddress)),
+      MessageHandler(std::move(InMessageHandler)) {}
 
-void SideLinks::onConfig(std::shared_ptr<const Declarations> Config) {
-  InForce = std::move(Config);
-  std::erase_if(Links, [&](const auto &Item) {
-    const UpstreamDecl *U = InForce->upstream(Item.first);
+void SideConnectionPool::onConfig(std::shared_ptr<const Declarations> Config) {
+  CurrentConfig = std::move(Config);
+  std::erase_if(Connections, [&](const auto &Item) {
+    const UpstreamDecl *U = CurrentConfig->upstream(Item.first);
     return !U || U->Side.text() != Item.second->address();
   });
 }
 
-SideLink *SideLinks::find(const std::string &Peer) {
-  const auto It = Links.find(Peer);
-  if (It != Links.end())
+SideConnection *SideConnectionPool::find(const std::string &Peer) {
+  const auto It = Connections.find(Peer);
+  if (It != Connections.end())
     return It->second.get();
   std::string Address = Peer;
-  if (const UpstreamDecl *U = InForce ? InForce->upstream(Peer) : nullptr)
+  if (const UpstreamDecl *U =
+          CurrentConfig ? CurrentConfig->upstream(Peer) : nullptr)
     Address = U->Side.text();
   else if (Peer.find(':') == std::string::npos)
     return nullptr;
-  auto Made = std::make_unique<SideLink>(
-      Io, Context, Address, Source,
-      [this, Peer](wire::Envelope &Message) { On(Peer, Message); });
-  return Links.emplace(Peer, std::move(Made)).first->second.get();
+  auto Opened = std::make_unique<SideConnection>(
+      Io, Context, Address, SourceAddress,
+      [this, Peer](wire::Envelope &Message) { MessageHandler(Peer, Message); });
+  return Connections.emplace(Peer, std::move(Opened)).first->second.get();
 }
 
-SideLink *SideLinks::any(Random &Rand) {
-  if (Links.empty())
+SideConnection *SideConnectionPool::any(Random &Rand) {
+  if (Connections.empty())
     return nullptr;
-  auto It = Links.begin();
-  std::advance(It, Rand.below(Links.size()));
+  auto It = Connections.begin();
+  std::advance(It, Rand.below(Connections.size()));
   return It->second.get();
 }
 
-void SideLinks::flush() {
-  for (auto &[Name, Link] : Links)
-    Link->flush();
+void SideConnectionPool::flush() {
+  for (auto &[Name, Connection] : Connections)
+    Connection->flush();
 }
 
 } // namespace goldcrestlink
--- a/daemon/side_links.h
+++ b/daemon/side_links.h
@@ -1,9 +1,10 @@
-// The connections of one thread to sides, by upstream name or "ip:port",
-// opened on first use at their declared addresses.
+// The connections of one thread to sides, by upstream name or "ip:port". Each
+// is opened on first use; a named upstream's at its declared address.
 //
-//   SideLinks L(Io, Context, Source, OnMessage);
-//   L.onConfig(Declarations);          // closes what is no longer declared
-//   if (SideLink *S = L.find("engine-1")) S->sendSoon(Message);
+//   SideConnectionPool Sides(Io, Context, SourceAddress, OnMessage);
+//   Sides.onConfig(Declarations);      // closes undeclared connections
+//   if (SideConnection *Side = Sides.find("engine-1"))
+//     Side->sendOrQueue(Message);
 #ifndef GOLDCRESTLINK_DAEMON_SIDE_LINKS_H
 #define GOLDCRESTLINK_DAEMON_SIDE_LINKS_H
 
@@ -18,31 +19,35 @@
 
 namespace goldcrestlink {
 
-/// Not thread-safe. Holds at most one connection per declared side and peer.
-class SideLinks {
+/// Not thread-safe. Holds at most one connection per declared side and per
+/// "ip:port".
+class SideConnectionPool {
 public:
-  /// Called with the name under which the sender was opened.
+  /// Called for each message received. \p Peer is the name that was passed to
+  /// find().
   using OnMessage =
       std::function<void(const std::string &Peer, wire::Envelope &)>;
-  SideLinks(boost::asio::io_context &Io, zmq::context_t &Context,
-            std::string Source, OnMessage On);
-  /// Takes over new declarations: closes connections to sides that are gone or
-  /// have moved.
+  SideConnectionPool(boost::asio::io_context &Io, zmq::context_t &Context,
+                     std::string SourceAddress, OnMessage MessageHandler);
+  /// Applies new declarations: closes the connections whose name is no longer
+  /// declared or is declared at another address.
   void onConfig(std::shared_ptr<const Declarations> Config);
-  /// The connection to \p Peer, opened if need be; null if it is unknown.
-  SideLink *find(const std::string &Peer);
-  /// Some open connection; null if there is none.
-  SideLink *any(Random &Rand);
-  /// Sends what waits on any connection. To be called every few milliseconds.
+  /// The connection to \p Peer, opened if necessary; null if \p Peer is neither
+  /// declared nor an "ip:port".
+  SideConnection *find(const std::string &Peer);
+  /// A random open connection; null if there is none.
+  SideConnection *any(Random &Rand);
+  /// Sends the queued messages of all connections. To be called every few
+  /// milliseconds.
   void flush();
 
 private:
   boost::asio::io_context &Io;
   zmq::context_t &Context;
-  std::string Source;
-  OnMessage On;
-  std::shared_ptr<const Declarations> InForce;
-  std::unordered_map<std::string, std::unique_ptr<SideLink>> Links;
+  std::string SourceAddress;
+  OnMessage MessageHandler;
+  std::shared_ptr<const Declarations> CurrentConfig;
+  std::unordered_map<std::string, std::unique_ptr<SideConnection>> Connections;
 };
 
 } // namespace goldcrestlink
