--- a/daemon/side_traffic.cc
+++ b/daemon/side_traffic.cc
@@ -1,6 +1,7 @@
-// The shell around SideMachine. Messages that a side sends to itself are
-// delivered after the actions of the present command, so the machine is never
-// re-entered.
+// The I/O layer of the side state machine: performs its actions and passes it
+// messages, the upstream's answers and timer ticks. Messages that a side sends
+// to itself are queued and delivered after the actions of the current event, so
+// the state machine is never re-entered.
 #include "daemon/side_traffic.h"
 
 #include <deque>
@@ -19,29 +20,29 @@
 namespace goldcrestlink {
 
 namespace {
-constexpr Duration Tick = std::chrono::milliseconds(10);
-// Peer identity under which a side's messages to itself appear.
+constexpr Duration TickInterval = std::chrono::milliseconds(10);
+// Peer identity of a side's messages to itself.
 constexpr const char *SelfPeer = "self";
 
-side::SideMachine::Options machineOptions(const Settings &S) {
+side::SideMachine::Options machineOptions(const Settings &ProcessSettings) {
   return side::SideMachine::Options()
-      .setShareRanks(S.ShareRanks)
-      .setBrokeredLoads(S.BrokeredLoads)
-      .setEvictByRecency(S.EvictByRecency);
+      .setShareRanks(ProcessSettings.ShareRanks)
+      .setBrokeredLoads(ProcessSettings.BrokeredLoads)
+      .setEvictByRecency(ProcessSettings.EvictByRecency);
 }
 } // namespace
 
 struct SideTraffic::State {
-  State(const Settings &InSettings, uint64_t FromSeed,
-        zmq::context_t &InContext, SideSinks InSinks)
-      : S(InSettings), Seed(FromSeed), Context(InContext),
-        Sinks(std::move(InSinks)), Ticker(Io), Guard(Io.get_executor()),
-        Rand(FromSeed), Client(Io, events()),
-        Router(Io, Context, S.SideListen.text(),
+  State(const Settings &InSettings, uint64_t InSeed, zmq::context_t &InContext,
+        SideSinks InSinks)
+      : ProcessSettings(InSettings), Seed(InSeed), Context(InContext),
+        Sinks(std::move(InSinks)), TickTimer(Io), WorkGuard(Io.get_executor()),
+        RandomSource(InSeed), Client(Io, events()),
+        Router(Io, Context, ProcessSettings.SideListen.text(),
                [this](const std::string &Peer, wire::Envelope &Message) {
                  onMessage(Peer, Message);
                }),
-        Links(Io, Context, S.SourceAddress,
+        Sides(Io, Context, ProcessSettings.SourceAddress,
               [this](const std::string &Upstream, wire::Envelope &Message) {
                 onLinkMessage(Upstream, Message);
               }) {}
@@ -52,44 +53,46 @@
   void onConfig(std::shared_ptr<const Declarations> Config);
   void applyShards(const ShardEffects &Effects);
   void perform(side::Actions &Out);
-  void perform(side::Reply &A);
-  void perform(side::TellSide &A);
-  void perform(side::StartRun &A) { Client.start(A); }
-  void perform(side::CancelRun &A) { Client.cancel(A.AttemptId); }
-  void perform(side::LoadAdapter &A) { Client.load(A); }
+  void perform(side::Reply &Action);
+  void perform(side::TellSide &Action);
+  void perform(side::StartRun &Action) { Client.start(Action); }
+  void perform(side::CancelRun &Action) { Client.cancel(Action.AttemptId); }
+  void perform(side::LoadAdapter &Action) { Client.load(Action); }
   void perform(side::CheckUpstream &) { Client.check(); }
-  void perform(side::LogDecision &A) { Sinks.Log(A.Class, std::move(A.Line)); }
-  void toControl(const std::string &Peer, const wire::Envelope &Message,
-                 bool ByRouter);
+  void perform(side::LogDecision &Action) {
+    Sinks.Log(Action.Class, std::move(Action.Line));
+  }
+  void passToControl(const std::string &Peer, const wire::Envelope &Message,
+                     bool ViaRouter);
   std::vector<std::string> otherSides() const;
   void tick();
   void updateSummary();
 
-  // Runs one command of the machine and performs its actions.
-  template <class Command> void command(Command C) {
+  // Passes one event to the state machine and performs the resulting actions.
+  template <class Event> void dispatch(Event Apply) {
     if (!Machine)
       return;
     side::Actions Out;
-    C(*Machine, presentTime(), Out);
+    Apply(*Machine, presentTime(), Out);
     perform(Out);
   }
 
-  Settings S;
+  Settings ProcessSettings;
   uint64_t Seed;
   zmq::context_t &Context;
   SideSinks Sinks;
   boost::asio::io_context Io{1};
-  boost::asio::steady_timer Ticker;
+  boost::asio::steady_timer TickTimer;
   boost::asio::executor_work_guard<boost::asio::io_context::executor_type>
-      Guard;
-  Random Rand;
+      WorkGuard;
+  Random RandomSource;
   side::UpstreamClient Client;
   wire::RouterSocket Router;
   std::unique_ptr<side::SideMachine> Machine;
-  std::shared_ptr<const Declarations> InForce;
-  SideLinks Links;
-  std::deque<wire::Envelope> ToSelf;
-  bool Performing = false;
+  std::shared_ptr<const Declarations> CurrentConfig;
+  SideConnectionPool Sides;
+  std::deque<wire::Envelope> SelfMessages;
+  bool DeliveringToSelf = false;
   bool Draining = false;
   mutable std::mutex SummaryMutex;
   SideSummary Summary;
@@ -101,32 +104,32 @@
   side::UpstreamEvents On;
   On.Head = [this](const std::string &Id, unsigned Status,
                    std::string_view Type) {
-    command([&](SideMachine &M, const Now &N, Actions &Out) {
+    dispatch([&](SideMachine &M, const Now &N, Actions &Out) {
       M.onRunHead(N, Id, Status, Type, Out);
     });
   };
   On.Data = [this](const std::string &Id, std::string_view Bytes) {
-    command([&](SideMachine &M, const Now &N, Actions &Out) {
+    dispatch([&](SideMachine &M, const Now &N, Actions &Out) {
       M.onRunData(N, Id, Bytes, Out);
     });
   };
   On.Done = [this](const std::string &Id) {
-    command([&](SideMachine &M, const Now &N, Actions &Out) {
+    dispatch([&](SideMachine &M, const Now &N, Actions &Out) {
       M.onRunDone(N, Id, Out);
     });
   };
   On.Error = [this](const std::string &Id, side::RunError Error) {
-    command([&](SideMachine &M, const Now &N, Actions &Out) {
+    dispatch([&](SideMachine &M, const Now &N, Actions &Out) {
       M.onRunError(N, Id, Error, Out);
     });
   };
   On.Loaded = [this](size_t Slot, const std::string &Key, bool Loaded) {
-    command([&](SideMachine &M, const Now &N, Actions &Out) {
+    dispatch([&](SideMachine &M, const Now &N, Actions &Out) {
       M.onLoadDone(N, Slot, Key, Loaded, Out);
     });
   };
   On.Checked = [this](const side::UpstreamStatus &Status) {
-    command([&](SideMachine &M, const Now &N, Actions &Out) {
+    dispatch([&](SideMachine &M, const Now &N, Actions &Out) {
       M.onUpstreamCheck(N, Status, Out);
     });
   };
@@ -134,47 +137,50 @@
 }
 
 void SideTraffic::State::perform(side::Actions &Out) {
-  for (side::Action &A : Out)
-    std::visit([this](auto &One) { perform(One); }, A);
-  if (Performing)
+  for (side::Action &Action : Out)
+    std::visit([this](auto &One) { perform(One); }, Action);
+  if (DeliveringToSelf)
     return;
-  Performing = true;
-  while (!ToSelf.empty()) {
-    const wire::Envelope Message = std::move(ToSelf.front());
-    ToSelf.pop_front();
-    // A permit's answer must appear to come from the broker: this side.
-    const std::string Peer =
-        Message.has_permit_grant() ? S.Upstream : std::string(SelfPeer);
-    command([&](side::SideMachine &M, const Now &N, side::Actions &More) {
-      M.onEnvelope(N, Peer, Message, More);
-    });
+  DeliveringToSelf = true;
+  while (!SelfMessages.empty()) {
+    const wire::Envelope Message = std::move(SelfMessages.front());
+    SelfMessages.pop_front();
+    // A permit grant must appear to come from the load broker, which is this
+    // side.
+    const std::string Peer = Message.has_permit_grant()
+                                 ? ProcessSettings.Upstream
+                                 : std::string(SelfPeer);
+    dispatch(
+        [&](side::SideMachine &M, const Now &N, side::Actions &FurtherActions) {
+          M.onEnvelope(N, Peer, Message, FurtherActions);
+        });
   }
-  Performing = false;
+  DeliveringToSelf = false;
 }
 
-void SideTraffic::State::perform(side::Reply &A) {
-  if (A.Peer == SelfPeer)
-    ToSelf.push_back(std::move(A.Message));
-  else if (!A.Peer.empty())
-    Router.send(A.Peer, A.Message);
+void SideTraffic::State::perform(side::Reply &Action) {
+  if (Action.Peer == SelfPeer)
+    SelfMessages.push_back(std::move(Action.Message));
+  else if (!Action.Peer.empty())
+    Router.send(Action.Peer, Action.Message);
 }
 
-void SideTraffic::State::perform(side::TellSide &A) {
-  if (A.Upstream == S.Upstream)
-    ToSelf.push_back(std::move(A.Message));
-  else if (SideLink *L = Links.find(A.Upstream))
-    L->sendSoon(A.Message);
+void SideTraffic::State::perform(side::TellSide &Action) {
+  if (Action.Upstream == ProcessSettings.Upstream)
+    SelfMessages.push_back(std::move(Action.Message));
+  else if (SideConnection *Side = Sides.find(Action.Upstream))
+    Side->sendOrQueue(Action.Message);
 }
 
-void SideTraffic::State::toControl(const std::string &Peer,
-                                   const wire::Envelope &Message,
-                                   bool ByRouter) {
-  Sinks.Control(Peer, Message, [this, Peer, ByRouter](wire::Envelope Answer) {
-    boost::asio::post(Io, [this, Peer, ByRouter, Answer]() mutable {
-      if (ByRouter)
+void SideTraffic::State::passToControl(const std::string &Peer,
+                                       const wire::Envelope &Message,
+                                       bool ViaRouter) {
+  Sinks.Control(Peer, Message, [this, Peer, ViaRouter](wire::Envelope Answer) {
+    boost::asio::post(Io, [this, Peer, ViaRouter, Answer]() mutable {
+      if (ViaRouter)
         Router.send(Peer, Answer);
-      else if (SideLink *L = Links.find(Peer))
-        L->sendSoon(Answer);
+      else if (SideConnection *Side = Sides.find(Peer))
+        Side->sendOrQueue(Answer);
     });
   });
 }
@@ -183,7 +189,7 @@
                                    wire::Envelope &Message) {
   if (Message.has_config_request() || Message.has_config_reply() ||
       Message.has_membership() || Message.has_report())
-    return toControl(Peer, Message, true);
+    return passToControl(Peer, Message, true);
   if (!Machine && Message.has_attempt()) {
     wire::Envelope Answer;
     wire::AttemptEvent &E = *Answer.mutable_event();
@@ -193,32 +199,32 @@
     Router.send(Peer, Answer);
     return;
   }
-  command([&](side::SideMachine &M, const Now &N, side::Actions &Out) {
+  dispatch([&](side::SideMachine &M, const Now &N, side::Actions &Out) {
     M.onEnvelope(N, Peer, Message, Out);
   });
 }
 
 void SideTraffic::State::onLinkMessage(const std::string &Upstream,
                                        wire::Envelope &Message) {
-  const bool Newer = InForce && Message.generation() > InForce->generation();
+  const bool Newer =
+      CurrentConfig && Message.generation() > CurrentConfig->generation();
   if (Message.has_config_reply() || Message.has_membership() || Newer)
-    toControl(Upstream, Message, false);
-  command([&](side::SideMachine &M, const Now &N, side::Actions &Out) {
+    passToControl(Upstream, Message, false);
+  dispatch([&](side::SideMachine &M, const Now &N, side::Actions &Out) {
     M.onEnvelope(N, Upstream, Message, Out);
   });
 }
 
 void SideTraffic::State::onConfig(std::shared_ptr<const Declarations> Config) {
-  InForce = Config;
-  if (const UpstreamDecl *Self = Config->upstream(S.Upstream))
+  CurrentConfig = Config;
+  if (const UpstreamDecl *Self = Config->upstream(ProcessSettings.Upstream))
     Client.setUpstream(*Self);
-  Links.onConfig(Config);
+  Sides.onConfig(Config);
   if (Machine)
-    return command([&](side::SideMachine &M, const Now &N, side::Actions &Out) {
-      M.onConfig(N, Config, Out);
-    });
-  Machine = std::make_unique<side::SideMachine>(machineOptions(S), Config,
-                                                S.Upstream, Seed);
+    return dispatch([&](side::SideMachine &M, const Now &N,
+                        side::Actions &Out) { M.onConfig(N, Config, Out); });
+  Machine = std::make_unique<side::SideMachine>(
+      machineOptions(ProcessSettings), Config, ProcessSettings.Upstream, Seed);
   Machine->setDraining(Draining);
 }
 
@@ -238,25 +244,25 @@
     Machine->setShardOwners(Effects.Owners);
 }
 
-// Upstreams of the other sides of the cell.
+// Names of the upstreams of the other sides of the cell.
 std::vector<std::string> SideTraffic::State::otherSides() const {
   std::vector<std::string> Out;
-  if (!InForce)
+  if (!CurrentConfig)
     return Out;
-  for (const UpstreamDecl &U : InForce->upstreams())
-    if (U.Cell == S.Cell && U.Name != S.Upstream)
+  for (const UpstreamDecl &U : CurrentConfig->upstreams())
+    if (U.Cell == ProcessSettings.Cell && U.Name != ProcessSettings.Upstream)
       Out.push_back(U.Name);
   return Out;
 }
 
 void SideTraffic::State::tick() {
-  Links.flush();
-  command([](side::SideMachine &M, const Now &N, side::Actions &Out) {
+  Sides.flush();
+  dispatch([](side::SideMachine &M, const Now &N, side::Actions &Out) {
     M.onTimer(N, Out);
   });
   updateSummary();
-  Ticker.expires_after(Tick);
-  Ticker.async_wait([this](boost::system::error_code Error) {
+  TickTimer.expires_after(TickInterval);
+  TickTimer.async_wait([this](boost::system::error_code Error) {
     if (!Error)
       tick();
   });
@@ -278,66 +284,67 @@
   Summary.Counters = Machine->counters();
 }
 
-SideTraffic::SideTraffic(const Settings &S, uint64_t Seed,
+SideTraffic::SideTraffic(const Settings &ProcessSettings, uint64_t Seed,
                          zmq::context_t &Context, SideSinks Sinks)
-    : Shell(std::make_unique<State>(S, Seed, Context, std::move(Sinks))) {}
+    : Impl(std::make_unique<State>(ProcessSettings, Seed, Context,
+                                   std::move(Sinks))) {}
 
 SideTraffic::~SideTraffic() = default;
 
 void SideTraffic::run() {
-  Shell->tick();
-  Shell->Io.run();
+  Impl->tick();
+  Impl->Io.run();
 }
 
-void SideTraffic::stop() { Shell->Io.stop(); }
+void SideTraffic::stop() { Impl->Io.stop(); }
 
 void SideTraffic::publish(std::shared_ptr<const Declarations> Config) {
-  boost::asio::post(Shell->Io, [this, Config] { Shell->onConfig(Config); });
+  boost::asio::post(Impl->Io, [this, Config] { Impl->onConfig(Config); });
 }
 
 void SideTraffic::applyShards(ShardEffects Effects) {
-  boost::asio::post(Shell->Io, [this, Effects = std::move(Effects)] {
-    Shell->applyShards(Effects);
+  boost::asio::post(Impl->Io, [this, Effects = std::move(Effects)] {
+    Impl->applyShards(Effects);
   });
 }
 
 void SideTraffic::setDraining(bool On) {
-  boost::asio::post(Shell->Io, [this, On] {
-    Shell->Draining = On;
-    if (Shell->Machine)
-      Shell->Machine->setDraining(On);
+  boost::asio::post(Impl->Io, [this, On] {
+    Impl->Draining = On;
+    if (Impl->Machine)
+      Impl->Machine->setDraining(On);
   });
 }
 
-void SideTraffic::tell(std::string Peer, wire::Envelope Message) {
-  boost::asio::post(Shell->Io, [this, Peer, Message]() mutable {
-    if (SideLink *L = Shell->Links.find(Peer))
-      L->sendSoon(Message);
+void SideTraffic::send(std::string Peer, wire::Envelope Message) {
+  boost::asio::post(Impl->Io, [this, Peer, Message]() mutable {
+    if (SideConnection *Side = Impl->Sides.find(Peer))
+      Side->sendOrQueue(Message);
   });
 }
 
-void SideTraffic::tellCell(wire::Envelope Message) {
-  boost::asio::post(Shell->Io, [this, Message]() mutable {
-    for (const std::string &Name : Shell->otherSides())
-      if (SideLink *L = Shell->Links.find(Name))
-        L->sendSoon(Message);
+void SideTraffic::sendToCell(wire::Envelope Message) {
+  boost::asio::post(Impl->Io, [this, Message]() mutable {
+    for (const std::string &Name : Impl->otherSides())
+      if (SideConnection *Side = Impl->Sides.find(Name))
+        Side->sendOrQueue(Message);
   });
 }
 
-void SideTraffic::tellAny(wire::Envelope Message) {
-  boost::asio::post(Shell->Io, [this, Message]() mutable {
-    const std::vector<std::string> Others = Shell->otherSides();
+void SideTraffic::sendToAny(wire::Envelope Message) {
+  boost::asio::post(Impl->Io, [this, Message]() mutable {
+    const std::vector<std::string> Others = Impl->otherSides();
     if (Others.empty())
       return;
-    if (SideLink *L =
-            Shell->Links.find(Others[Shell->Rand.below(Others.size())]))
-      L->sendSoon(Message);
+    if (SideConnection *Side =
+            Impl->Sides.find(Others[Impl->RandomSource.below(Others.size())]))
+      Side->sendOrQueue(Message);
   });
 }
 
 SideSummary SideTraffic::summary() const {
-  const std::lock_guard<std::mutex> Lock(Shell->SummaryMutex);
-  return Shell->Summary;
+  const std::lock_guard<std::mutex> Lock(Impl->SummaryMutex);
+  return Impl->Summary;
 }
 
 } // namespace goldcrestlink
--- a/daemon/side_traffic.h
+++ b/daemon/side_traffic.h
@@ -1,10 +1,10 @@
-// The traffic thread of a side: the socket that entries and other sides
-// connect to, connections to other sides, the upstream, and a SideMachine
-// that decides.
+// The traffic thread of a side: the socket that entries and other sides connect
+// to, connections to other sides and to the upstream, and the side state
+// machine that takes the decisions.
 //
-//   SideTraffic T(Settings, Seed, Context, Sinks);
-//   std::thread Thread([&] { T.run(); });
-//   T.publish(Declarations);            // any thread
+//   SideTraffic Traffic(Settings, Seed, Context, Sinks);
+//   std::thread Thread([&] { Traffic.run(); });
+//   Traffic.publish(Declarations);      // any thread
 #ifndef GOLDCRESTLINK_DAEMON_SIDE_TRAFFIC_H
 #define GOLDCRESTLINK_DAEMON_SIDE_TRAFFIC_H
 
@@ -23,7 +23,8 @@
 
 namespace goldcrestlink {
 
-/// Where traffic hands things to the control thread. All are thread-safe.
+/// Where the traffic thread sends its output for the control thread. All are
+/// thread-safe.
 struct SideSinks {
   std::function<void(LineClass, std::string)> Log;
   /// A message about configuration or membership. \p Reply answers it.
@@ -32,13 +33,16 @@
       Control;
 };
 
-/// What the control thread may know of the machine.
+/// State of the traffic thread for use by the control thread.
 struct SideSummary {
+  /// A configuration is known and the side is not draining.
   bool Ready = false;
+  /// No work is left.
   bool Drained = false;
   bool UpstreamDown = false;
   size_t Running = 0;
   size_t Waiting = 0;
+  /// Size of the state machine's ledger.
   size_t Keys = 0;
   uint64_t BadFrames = 0;
   side::SideCounters Counters;
@@ -47,26 +51,28 @@
 /// run() belongs to one thread; the other methods are thread-safe.
 class SideTraffic {
 public:
-  /// Binds the socket; throws std::runtime_error if the address is taken.
-  SideTraffic(const Settings &S, uint64_t Seed, zmq::context_t &Context,
-              SideSinks Sinks);
+  /// Binds the socket; throws std::runtime_error if the address is in use.
+  SideTraffic(const Settings &ProcessSettings, uint64_t Seed,
+              zmq::context_t &Context, SideSinks Sinks);
   ~SideTraffic();
+  /// Serves until stop().
   void run();
   void stop();
   void publish(std::shared_ptr<const Declarations> Config);
   void applyShards(ShardEffects Effects);
   void setDraining(bool On);
   /// Sends to another side by upstream name or "ip:port".
-  void tell(std::string Peer, wire::Envelope Message);
+  void send(std::string Peer, wire::Envelope Message);
   /// Sends to every other side of the cell.
-  void tellCell(wire::Envelope Message);
+  void sendToCell(wire::Envelope Message);
   /// Sends to one other side of the cell.
-  void tellAny(wire::Envelope Message);
+  void sendToAny(wire::Envelope Message);
+  /// The state at the last tick of the traffic thread.
   SideSummary summary() const;
 
 private:
   struct State;
-  std::unique_ptr<State> Shell;
+  std::unique_ptr<State> Impl;
 };
 
 } // namespace goldcrestlink
--- a/daemon/store_follower.cc
+++ b/daemon/store_follower.cc
@@ -1,6 +1,6 @@
-// Changes that arrive together are announced once. Records that cannot be read
-// are logged and leave the belief as it was; an upstream's unreadable record
-// names no upstream to use and so removes it.
+// Changes that arrive together cause one notification. Unreadable records are
+// logged and leave the catalog unchanged, except that an unreadable record of
+// an upstream removes the upstream, since it no longer says how to reach it.
 #include "daemon/store_follower.h"
 
 #include <boost/asio/io_context.hpp>
@@ -9,23 +9,27 @@
 namespace goldcrestlink {
 
 namespace {
-// Checks for upstreams whose grace after an outage is over.
-constexpr Duration AbsenceCheck = std::chrono::milliseconds(200);
-// Upstreams write every second or so, mostly what is of no interest here; a
-// leaving one must be known well within the platform's two seconds.
-constexpr Duration UpstreamGather = std::chrono::milliseconds(600);
-// Mean time between the renewals of any entry's watch of a kind: a store that
-// drops its history leaves waiting watches without news. Configurations are to
-// be in force within two seconds, releases within five.
-constexpr Duration ConfigRenewal = std::chrono::milliseconds(450);
-constexpr Duration ReleaseRenewal = std::chrono::milliseconds(1000);
+// How often to look for absent upstreams whose grace period after an outage of
+// the store has ended.
+constexpr Duration AbsenceCheckInterval = std::chrono::milliseconds(200);
+// Pause between watches of upstreams, so that one call reports several changes:
+// upstreams write about once a second, mostly values that are not used here. A
+// draining upstream must be known well within the platform's two seconds.
+constexpr Duration UpstreamWatchPause = std::chrono::milliseconds(600);
+// Mean time between renewals of watches of one kind over all entries. A store
+// that drops its history does not answer open watches, so a change may be seen
+// only after a renewal; configurations must be in force within two seconds and
+// releases within five.
+constexpr Duration ConfigRenewalInterval = std::chrono::milliseconds(450);
+constexpr Duration ReleaseRenewalInterval = std::chrono::milliseconds(1000);
 } // namespace
 
 StoreFollower::StoreFollower(boost::asio::io_context &InIo,
                              const http::Endpoint &Address, uint64_t Seed,
-                             OnChanged InChanged, OnLog InLog)
+                             OnChanged InNotifyChanged, OnLog InLog)
     : Io(InIo), Store(InIo, Address, platform::StoreClient::Options(), Seed),
-      Timer(InIo), Changed(std::move(InChanged)), Log(std::move(InLog)) {}
+      AbsenceTimer(InIo), NotifyChanged(std::move(InNotifyChanged)),
+      Log(std::move(InLog)) {}
 
 void StoreFollower::start() {
   using platform::StoreObject;
@@ -35,10 +39,12 @@
   Config.OnList = [this](uint64_t Revision,
                          const std::vector<StoreObject> &List) {
     logList(platform::kinds::Config, Revision, List);
-    for (const StoreObject &O : List)
-      onConfigObject(O);
+    for (const StoreObject &Object : List)
+      onConfigObject(Object);
+  };
+  Config.OnChange = [this](const StoreObject &Object) {
+    onConfigObject(Object);
   };
-  Config.OnChange = [this](const StoreObject &O) { onConfigObject(O); };
   Store.follow(platform::kinds::Config, std::move(Config));
 
   platform::FollowHandlers Upstreams;
@@ -46,118 +52,122 @@
                             const std::vector<StoreObject> &List) {
     onUpstreams(Revision, List);
   };
-  Upstreams.OnChange = [this](const StoreObject &O) { onUpstream(O); };
+  Upstreams.OnChange = [this](const StoreObject &Object) {
+    onUpstream(Object);
+  };
   Upstreams.OnRegained = [this] {
-    Believed.onStoreRegained(presentTime().Steady);
+    KnownCatalog.onStoreRegained(presentTime().Steady);
   };
-  Upstreams.Gather = UpstreamGather;
+  Upstreams.Gather = UpstreamWatchPause;
   Store.follow(platform::kinds::Upstreams, std::move(Upstreams));
 
   platform::FollowHandlers Releases;
   Releases.OnList = [this](uint64_t Revision,
                            const std::vector<StoreObject> &List) {
     logList(platform::kinds::Releases, Revision, List);
-    for (const StoreObject &O : List)
-      onRelease(O);
+    for (const StoreObject &Object : List)
+      onRelease(Object);
   };
-  Releases.OnChange = [this](const StoreObject &O) { onRelease(O); };
+  Releases.OnChange = [this](const StoreObject &Object) { onRelease(Object); };
   Store.follow(platform::kinds::Releases, std::move(Releases));
 }
 
-void StoreFollower::setEntries(size_t Count) {
+void StoreFollower::setEntryCount(size_t Count) {
   const auto Factor = static_cast<int64_t>(Count);
-  Store.setWatchTime(platform::kinds::Config, ConfigRenewal * Factor);
-  Store.setWatchTime(platform::kinds::Releases, ReleaseRenewal * Factor);
+  Store.setWatchTime(platform::kinds::Config, ConfigRenewalInterval * Factor);
+  Store.setWatchTime(platform::kinds::Releases,
+                     ReleaseRenewalInterval * Factor);
 }
 
 void StoreFollower::logList(std::string_view Kind, uint64_t Revision,
                             const std::vector<platform::StoreObject> &List) {
   uint64_t Newest = 0;
-  for (const platform::StoreObject &O : List)
-    Newest = std::max(Newest, O.Revision);
+  for (const platform::StoreObject &Object : List)
+    Newest = std::max(Newest, Object.Revision);
   Log("store listed=" + std::string(Kind) + " objects=" +
       std::to_string(List.size()) + " revision=" + std::to_string(Revision) +
       " newest=" + std::to_string(Newest));
 }
 
-void StoreFollower::onConfigObject(const platform::StoreObject &O) {
-  if (O.Removed || O.Content.empty())
+void StoreFollower::onConfigObject(const platform::StoreObject &Object) {
+  if (Object.Removed || Object.Content.empty())
     return;
   try {
-    auto Config =
-        std::make_shared<DeploymentConfig>(platform::decodeConfig(O.Content));
+    auto Config = std::make_shared<DeploymentConfig>(
+        platform::decodeConfig(Object.Content));
     const uint64_t Version = Config->Version;
     const size_t Routes = Config->Routes.size();
-    if (!Believed.applyConfig(std::move(Config), O.Content))
+    if (!KnownCatalog.applyConfig(std::move(Config), Object.Content))
       return;
     Log("config version=" + std::to_string(Version) + " revision=" +
-        std::to_string(O.Revision) + " routes=" + std::to_string(Routes));
-    changed();
-  } catch (const platform::DecodeError &Bad) {
-    Log("config object=" + O.Name + " outcome=unreadable why=\"" + Bad.what() +
-        "\"");
+        std::to_string(Object.Revision) + " routes=" + std::to_string(Routes));
+    scheduleNotification();
+  } catch (const platform::DecodeError &Error) {
+    Log("config object=" + Object.Name + " outcome=unreadable why=\"" +
+        Error.what() + "\"");
   }
 }
 
 void StoreFollower::onUpstreams(
     uint64_t Revision, const std::vector<platform::StoreObject> &List) {
   std::map<std::string, UpstreamRecord> Records;
-  for (const platform::StoreObject &O : List)
-    if (auto R = platform::decodeUpstream(O.Name, O.Content))
-      Records[O.Name] = std::move(*R);
+  for (const platform::StoreObject &Object : List)
+    if (auto Record = platform::decodeUpstream(Object.Name, Object.Content))
+      Records[Object.Name] = std::move(*Record);
   Log("upstreams listed=" + std::to_string(List.size()) + " usable=" +
       std::to_string(Records.size()) + " revision=" + std::to_string(Revision));
-  Believed.applyUpstreams(presentTime().Steady, Revision, Records);
-  changed();
-  dropAbsent();
+  KnownCatalog.applyUpstreams(presentTime().Steady, Revision, Records);
+  scheduleNotification();
+  scheduleAbsenceCheck();
 }
 
-void StoreFollower::onUpstream(const platform::StoreObject &O) {
-  std::optional<UpstreamRecord> R;
-  if (!O.Removed)
-    R = platform::decodeUpstream(O.Name, O.Content);
-  if (!Believed.applyUpstream(presentTime().Steady, O.Revision, O.Name,
-                              R ? &*R : nullptr))
+void StoreFollower::onUpstream(const platform::StoreObject &Object) {
+  std::optional<UpstreamRecord> Record;
+  if (!Object.Removed)
+    Record = platform::decodeUpstream(Object.Name, Object.Content);
+  if (!KnownCatalog.applyUpstream(presentTime().Steady, Object.Revision,
+                                  Object.Name, Record ? &*Record : nullptr))
     return;
-  Log("upstream id=" + O.Name + " state=" +
-      (R ? (R->Draining ? "draining" : "ready")
-         : (O.Removed ? "removed" : "unreadable")) +
-      " revision=" + std::to_string(O.Revision));
-  changed();
-  dropAbsent();
+  Log("upstream id=" + Object.Name + " state=" +
+      (Record ? (Record->Draining ? "draining" : "ready")
+              : (Object.Removed ? "removed" : "unreadable")) +
+      " revision=" + std::to_string(Object.Revision));
+  scheduleNotification();
+  scheduleAbsenceCheck();
 }
 
-void StoreFollower::onRelease(const platform::StoreObject &O) {
-  if (O.Removed)
+void StoreFollower::onRelease(const platform::StoreObject &Object) {
+  if (Object.Removed)
     return;
-  auto R = platform::decodeRelease(O.Content);
-  if (!R) {
-    Log("release object=" + O.Name + " outcome=unreadable");
+  auto Record = platform::decodeRelease(Object.Content);
+  if (!Record) {
+    Log("release object=" + Object.Name + " outcome=unreadable");
     return;
   }
-  R->Revision = O.Revision;
-  if (!Believed.applyRelease(*R))
+  Record->Revision = Object.Revision;
+  if (!KnownCatalog.applyRelease(*Record))
     return;
-  Log("release model=" + R->Model + " adapter=" + R->Adapter + " version=" +
-      std::to_string(R->Version) + " revision=" + std::to_string(O.Revision));
-  changed();
+  Log("release model=" + Record->Model + " adapter=" + Record->Adapter +
+      " version=" + std::to_string(Record->Version) +
+      " revision=" + std::to_string(Object.Revision));
+  scheduleNotification();
 }
 
-void StoreFollower::onBeliefs(const BeliefUpdate &U) {
-  bool Changed = Believed.applyBeliefs(presentTime().Steady, U);
-  if (!U.ConfigText.empty()) {
-    platform::StoreObject O;
-    O.Name = "peer";
-    O.Content = U.ConfigText;
-    onConfigObject(O);
+void StoreFollower::onCatalogUpdate(const BeliefUpdate &Update) {
+  bool Applied = KnownCatalog.applyBeliefs(presentTime().Steady, Update);
+  if (!Update.ConfigText.empty()) {
+    platform::StoreObject Object;
+    Object.Name = "peer";
+    Object.Content = Update.ConfigText;
+    onConfigObject(Object);
   }
-  if (!Changed)
+  if (!Applied)
     return;
-  Log("beliefs upstreams=" + std::to_string(U.Upstreams.size()) +
-      " releases=" + std::to_string(U.Releases.size()) +
-      " upstream_revision=" + std::to_string(U.AsOf.Upstreams) +
+  Log("beliefs upstreams=" + std::to_string(Update.Upstreams.size()) +
+      " releases=" + std::to_string(Update.Releases.size()) +
+      " upstream_revision=" + std::to_string(Update.AsOf.Upstreams) +
       " store=" + (InContact ? "reached" : "lost"));
-  changed();
+  scheduleNotification();
 }
 
 void StoreFollower::onContact(bool Reached, std::string_view Why) {
@@ -166,25 +176,25 @@
       " why=\"" + std::string(Why) + "\"");
 }
 
-void StoreFollower::changed() {
-  if (Announced)
+void StoreFollower::scheduleNotification() {
+  if (NotificationPending)
     return;
-  Announced = true;
+  NotificationPending = true;
   boost::asio::post(Io, [this] {
-    Announced = false;
-    Changed();
+    NotificationPending = false;
+    NotifyChanged();
   });
 }
 
-void StoreFollower::dropAbsent() {
-  Timer.expires_after(AbsenceCheck);
-  Timer.async_wait([this](boost::system::error_code Error) {
+void StoreFollower::scheduleAbsenceCheck() {
+  AbsenceTimer.expires_after(AbsenceCheckInterval);
+  AbsenceTimer.async_wait([this](boost::system::error_code Error) {
     if (Error)
       return;
-    if (Believed.onTimer(presentTime().Steady))
-      changed();
-    if (Believed.hasAbsent())
-      dropAbsent();
+    if (KnownCatalog.onTimer(presentTime().Steady))
+      scheduleNotification();
+    if (KnownCatalog.hasAbsent())
+      scheduleAbsenceCheck();
   });
 }
 
--- a/daemon/store_follower.h
+++ b/daemon/store_follower.h
@@ -1,7 +1,8 @@
-// Keeps a Catalog up to date from the platform's store, and tells what changed.
+// Keeps a Catalog up to date from the platform's store and reports changes.
 //
-//   StoreFollower F(Io, Options, [](const Catalog &C) { publish(C); }, Log);
-//   F.start();
+//   StoreFollower Follower(Io, StoreAddress, Seed,
+//                          [&] { publish(Follower.catalog()); }, Log);
+//   Follower.start();
 #ifndef GOLDCRESTLINK_DAEMON_STORE_FOLLOWER_H
 #define GOLDCRESTLINK_DAEMON_STORE_FOLLOWER_H
 
@@ -19,18 +20,21 @@
 /// Not thread-safe.
 class StoreFollower {
 public:
+  /// Called after the catalog has changed.
   using OnChanged = std::function<void()>;
   using OnLog = std::function<void(std::string)>;
 
   StoreFollower(boost::asio::io_context &Io, const http::Endpoint &Store,
-                uint64_t Seed, OnChanged Changed, OnLog Log);
+                uint64_t Seed, OnChanged NotifyChanged, OnLog Log);
+  /// Starts reading the store, for as long as the object exists.
   void start();
-  /// What another process knows that this one lacks.
-  void onBeliefs(const BeliefUpdate &U);
-  /// Entries that tell each other what they learn, this one included. Their
-  /// watches together are renewed at a rate that does not grow with them.
-  void setEntries(size_t Count);
-  const Catalog &catalog() const { return Believed; }
+  /// Applies newer catalog state received from another process.
+  void onCatalogUpdate(const BeliefUpdate &Update);
+  /// Number of entries that exchange catalog state, this one included. Each
+  /// renews its watches at intervals proportional to it, so that the total rate
+  /// of renewals does not grow with the number of entries.
+  void setEntryCount(size_t Count);
+  const Catalog &catalog() const { return KnownCatalog; }
   /// False while the store cannot be reached.
   bool inContact() const { return InContact; }
   uint64_t storeCalls() const { return Store.calls(); }
@@ -38,23 +42,23 @@
 private:
   void logList(std::string_view Kind, uint64_t Revision,
                const std::vector<platform::StoreObject> &List);
-  void onConfigObject(const platform::StoreObject &O);
+  void onConfigObject(const platform::StoreObject &Object);
   void onUpstreams(uint64_t Revision,
                    const std::vector<platform::StoreObject> &List);
-  void onUpstream(const platform::StoreObject &O);
-  void onRelease(const platform::StoreObject &O);
+  void onUpstream(const platform::StoreObject &Object);
+  void onRelease(const platform::StoreObject &Object);
   void onContact(bool Reached, std::string_view Why);
-  void changed();
-  void dropAbsent();
+  void scheduleNotification();
+  void scheduleAbsenceCheck();
 
   boost::asio::io_context &Io;
   platform::StoreClient Store;
-  boost::asio::steady_timer Timer;
-  Catalog Believed;
-  OnChanged Changed;
+  boost::asio::steady_timer AbsenceTimer;
+  Catalog KnownCatalog;
+  OnChanged NotifyChanged;
   OnLog Log;
   bool InContact = true;
-  bool Announced = false;
+  bool NotificationPending = false;
 };
 
 } // namespace goldcrestlink
--- a/daemon/testing/decision_log_test.cc
+++ b/daemon/testing/decision_log_test.cc
@@ -1,5 +1,6 @@
-// The log under more lines than its rate: nothing waits, kept lines stay, and
-// the count of dropped ones is true.
+// A log that receives more lines than its rate allows: pushing never blocks,
+// kept lines are dropped only when their queue is full, and the numbers of
+// dropped lines are correct.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -15,15 +16,15 @@
 constexpr int64_t Rate = 100;
 constexpr Time Start{std::chrono::seconds(50)};
 
-class Sink {
+class LineCollector {
 public:
-  DecisionLog::Sink in() {
+  DecisionLog::Sink sink() {
     return [this](const std::string &Line) { Lines.push_back(Line); };
   }
-  size_t with(const std::string &Word) const {
+  size_t countContaining(const std::string &Text) const {
     return static_cast<size_t>(
         std::count_if(Lines.begin(), Lines.end(), [&](const std::string &Line) {
-          return Line.find(Word) != std::string::npos;
+          return Line.find(Text) != std::string::npos;
         }));
   }
 
@@ -32,15 +33,16 @@
 
 } // namespace
 
-TEST_CASE("routine lines go first when there are too many") {
+TEST_CASE(
+    "beyond the rate, routine lines are dropped and kept lines are written") {
   constexpr size_t Threads = 4;
   constexpr size_t RoutineEach = 4000;
   constexpr size_t KeptEach = 60;
-  Sink Out;
-  DecisionLog Log(Rate, Out.in());
-  std::vector<std::thread> Pushing;
+  LineCollector Out;
+  DecisionLog Log(Rate, Out.sink());
+  std::vector<std::thread> Pushers;
   for (size_t T = 0; T < Threads; ++T)
-    Pushing.emplace_back([&] {
+    Pushers.emplace_back([&] {
       for (size_t I = 0; I < RoutineEach; ++I) {
         Log.push(LineClass::Routine, "send id=r");
         if (I % (RoutineEach / KeptEach) == 0 &&
@@ -48,25 +50,26 @@
           Log.push(LineClass::Kept, "end id=r outcome=no_room");
       }
     });
-  for (std::thread &T : Pushing)
+  for (std::thread &T : Pushers)
     T.join();
   Log.drain(Start);
-  // One second's burst, kept lines first.
+  // The first drain writes one second's burst, kept lines first.
   CHECK(Out.Lines.size() <= Rate);
-  CHECK(Out.with("outcome=no_room") == Rate);
+  CHECK(Out.countContaining("outcome=no_room") == Rate);
   for (int Second = 1; Second <= 3; ++Second)
     Log.drain(Start + std::chrono::seconds(Second));
-  CHECK(Out.with("outcome=no_room") == Threads * KeptEach);
+  CHECK(Out.countContaining("outcome=no_room") == Threads * KeptEach);
   CHECK(Log.dropped(LineClass::Kept) == 0);
-  CHECK(Out.with("send id=r") + Log.dropped(LineClass::Routine) ==
+  CHECK(Out.countContaining("send id=r") + Log.dropped(LineClass::Routine) ==
         Threads * RoutineEach);
-  CHECK(Out.with("dropped_routine=" +
-                 std::to_string(Log.dropped(LineClass::Routine))) == 1);
+  CHECK(Out.countContaining("dropped_routine=" +
+                            std::to_string(Log.dropped(LineClass::Routine))) ==
+        1);
 }
 
-TEST_CASE("within the rate nothing is dropped, and lines keep their order") {
-  Sink Out;
-  DecisionLog Log(Rate, Out.in());
+TEST_CASE("within the rate no line is dropped, and lines keep their order") {
+  LineCollector Out;
+  DecisionLog Log(Rate, Out.sink());
   for (int I = 0; I < 40; ++I)
     Log.push(LineClass::Routine, "n=" + std::to_string(I) + ".");
   Log.drain(Start);
@@ -77,15 +80,16 @@
   CHECK(Out.Lines.front().substr(0, 2) == "t=");
 }
 
-TEST_CASE("a log that nobody drains blocks nobody") {
-  constexpr size_t Pushed = 50000;
-  Sink Out;
-  DecisionLog Log(Rate, Out.in());
-  for (size_t I = 0; I < Pushed; ++I)
+TEST_CASE("pushing to a log that is not drained does not block") {
+  constexpr size_t LineCount = 50000;
+  LineCollector Out;
+  DecisionLog Log(Rate, Out.sink());
+  for (size_t I = 0; I < LineCount; ++I)
     Log.push(LineClass::Kept, "end");
   const uint64_t Dropped = Log.dropped(LineClass::Kept);
   CHECK(Dropped > 0);
-  // The end of the process writes all that is left, whatever the rate.
+  // finish() writes all kept lines that are still queued, regardless of the
+  // rate.
   Log.finish(Start);
-  CHECK(Out.with("end") + Dropped == Pushed);
+  CHECK(Out.countContaining("end") + Dropped == LineCount);
 }
