--- a/testing/fleet.cc
+++ b/testing/fleet.cc
@@ -1,6 +1,7 @@
-// Ports are chosen free; every process gets its settings as a file in the work
-// folder, and its log beside it. Waits are on conditions, with generous
-// limits.
+// Every process listens on free ports, and has its settings file and log file
+// in the work folder. The start waits for conditions rather than for fixed
+// times; each wait is bounded by StartSeconds, which leaves room for a busy
+// machine.
 #include "testing/fleet.h"
 
 #include <filesystem>
@@ -117,19 +118,20 @@
   Relay.Command = {Programs + "/standin_relay", "--admin", Relay.Admin.text()};
   for (auto *Sides : {&EngineSides, &ServiceSides})
     for (Member &M : *Sides) {
-      const http::Endpoint Inside = M.Admin;
-      Relay.Command.push_back(M.Wire.text() + "=" + Inside.text());
+      const http::Endpoint Listen = M.Admin;
+      Relay.Command.push_back(M.Wire.text() + "=" + Listen.text());
     }
 }
 
 void Fleet::planSides(std::vector<Member> &Sides,
-                      const std::vector<Member> &Beside, const char *Prefix) {
-  for (const Member &Upstream : Beside) {
+                      const std::vector<Member> &Upstreams,
+                      const char *Prefix) {
+  for (const Member &Upstream : Upstreams) {
     Member M = makeMember(Prefix + Upstream.Name);
     M.Command = {Programs + "/goldcrestlinkd", "--settings",
                  Work + "/" + M.Name + ".ini"};
-    // Behind a relay, the declared address is the relay's and the side
-    // listens on a second one.
+    // With a relay, the declared address belongs to the relay, and the side
+    // listens on a second address.
     const http::Endpoint Listen = Shape.Relay ? M.Admin : M.Wire;
     writeFile(Work + "/" + M.Name + ".ini",
               settingsText(M, "side") + "[side]\nupstream = " + Upstream.Name +
@@ -138,19 +140,20 @@
   }
 }
 
-std::string Fleet::settingsText(const Member &M,
+std::string Fleet::settingsText(const Member &Target,
                                 const std::string &Role) const {
   std::string Peers;
   for (const auto *Sides : {&EngineSides, &ServiceSides})
     for (const Member &Side : *Sides)
-      if (Side.Name != M.Name)
+      if (Side.Name != Target.Name)
         Peers += " " + Side.Wire.text();
   std::string Text =
-      "[process]\nrole = " + Role + "\ninstance = " + M.Name +
-      "\ndata_center = dc-1\ncell = " + Cell + "\nlisten = " + M.Http.text() +
+      "[process]\nrole = " + Role + "\ninstance = " + Target.Name +
+      "\ndata_center = dc-1\ncell = " + Cell +
+      "\nlisten = " + Target.Http.text() +
       "\ntraffic_threads = " + std::to_string(Shape.TrafficThreads) + "\n";
   Text += "[platform]\nendpoints = " + Platform.Http.text() + "\n";
-  // The longest line that settings allow holds about six addresses.
+  // A line of the settings file has room for about six addresses.
   if (!Peers.empty())
     Text += "peers =" + Peers.substr(0, Peers.find(' ', 120)) + "\n";
   if (!Shape.Strategy.empty())
@@ -218,14 +221,14 @@
       {"apply", Work + "/declarations", "--platform", Platform.Http.text()});
 }
 
-void Fleet::launch(Member &M) {
-  M.Running =
-      std::make_unique<Process>(M.Command, Work + "/" + M.Name + ".log");
+void Fleet::launch(Member &Target) {
+  Target.Running = std::make_unique<Process>(Target.Command,
+                                             Work + "/" + Target.Name + ".log");
 }
 
-void Fleet::restart(Member &M) {
-  M.Running.reset();
-  launch(M);
+void Fleet::restart(Member &Target) {
+  Target.Running.reset();
+  launch(Target);
 }
 
 std::string Fleet::admin(const http::Endpoint &To, const std::string &Target,
@@ -249,14 +252,15 @@
   const auto Answers = [&](const http::Endpoint &To, const char *Target) {
     return !admin(To, Target, "GET").empty();
   };
-  bool Up = eventually([&] { return Answers(Platform.Http, "/admin/counts"); },
-                       StartSeconds);
+  bool Started = eventually(
+      [&] { return Answers(Platform.Http, "/admin/counts"); }, StartSeconds);
   setInstances({});
-  Up = Up && apply() == 0;
+  Started = Started && apply() == 0;
   for (auto *Group : {&EngineSides, &ServiceSides, &Entries})
     for (Member &M : *Group)
       launch(M);
-  Up = Up && eventually([&] { return generationInForce(1); }, StartSeconds);
+  Started =
+      Started && eventually([&] { return generationInForce(1); }, StartSeconds);
   // All shards of the service's keys have an owner.
   const auto Served = [&] {
     http::Request R;
@@ -265,9 +269,10 @@
            std::string::npos;
   };
   if (!Services.empty())
-    Up = Up && eventually(Served, StartSeconds);
-  if (!Up)
-    throw std::runtime_error("the fleet did not start; see " + Work);
+    Started = Started && eventually(Served, StartSeconds);
+  if (!Started)
+    throw std::runtime_error(
+        "the deployment did not start in time; see the logs in " + Work);
 }
 
 bool Fleet::generationInForce(uint64_t Generation) {
@@ -299,9 +304,9 @@
   return Sum;
 }
 
-std::vector<std::string> Fleet::runs(const std::vector<Member> &Of) {
+std::vector<std::string> Fleet::runs(const std::vector<Member> &Upstreams) {
   std::vector<std::string> Out;
-  for (const Member &M : Of) {
+  for (const Member &M : Upstreams) {
     std::istringstream Lines(admin(M.Admin, "/admin/runs", "GET"));
     for (std::string Line; std::getline(Lines, Line);)
       Out.push_back(Line);
@@ -309,19 +314,19 @@
   return Out;
 }
 
-void Fleet::setInstances(const std::vector<std::string> &Leaving,
+void Fleet::setInstances(const std::vector<std::string> &Draining,
                          const std::vector<std::string> &Gone) {
-  const auto Has = [](const std::vector<std::string> &List,
-                      const std::string &Name) {
+  const auto Contains = [](const std::vector<std::string> &List,
+                           const std::string &Name) {
     return std::find(List.begin(), List.end(), Name) != List.end();
   };
   std::string Json;
   for (const auto *Group : {&Engines, &Services})
     for (const Member &M : *Group)
-      if (!Has(Gone, M.Name))
+      if (!Contains(Gone, M.Name))
         Json += std::string(Json.empty() ? "" : ",") + "{\"name\":\"" + M.Name +
                 "\",\"state\":\"" +
-                (Has(Leaving, M.Name) ? "leaving" : "live") + "\"}";
+                (Contains(Draining, M.Name) ? "leaving" : "live") + "\"}";
   admin(Platform.Http, "/admin/instances", "PUT", "[" + Json + "]");
 }
 
--- a/testing/fleet.h
+++ b/testing/fleet.h
@@ -1,6 +1,6 @@
-// A whole deployment on loopback, as separate processes: platform, store,
-// engines and plain services (stand-ins), sides and entries (the daemon), and
-// the declarations applied with the command-line tool.
+// A complete deployment of separate processes on the loopback interface. The
+// platform, weight store, engines and plain services are stand-ins; sides and
+// entries are the daemon. The command-line tool applies the declarations.
 //
 //   Fleet F(FleetShape{.Engines = 4}, "build", "/tmp/run");
 //   F.start();
@@ -17,75 +17,89 @@
 
 namespace goldcrestlink::testing {
 
-/// What to start. Defaults make a small fleet for tests.
+/// The size and settings of a deployment. The defaults suit small tests.
 struct FleetShape {
   size_t Engines = 2;
   size_t Services = 2;
   size_t Entries = 2;
   size_t Adapters = 50;
-  /// Versions of each adapter, as in the declarations.
+  /// Versions of each adapter, in the syntax of the declarations.
   std::string Versions = "1 2";
   size_t TrafficThreads = 1;
+  /// Adapter slots of each engine.
   size_t Slots = 8;
   size_t MaxBatch = 16;
+  /// Duration of one decoding step of an engine.
   double StepMs = 20;
+  /// One in this many adapter loads fails; 0 for none.
   uint64_t LoadFailsOneIn = 0;
+  /// How long an engine is down after a crash.
   uint64_t CrashDownMs = 3000;
+  /// Loads per second of the weight store.
   double StoreRate = 7;
   size_t StoreBurst = 2;
   size_t StoreInFlight = 16;
+  /// Whether engines load adapters from the weight store.
   bool UseStore = true;
   bool ServicesCheckFencing = false;
   int64_t LeaseMs = 60000;
   int64_t ClockSkewMs = 20;
-  /// Entries connect to sides through a relay that can silence connections;
-  /// entry i then uses 127.0.0.(i+2) as its source address.
+  /// Entries connect to sides through a relay that can silence connections.
+  /// The entry with index i then has the source address 127.0.0.(i+2).
   bool Relay = false;
   /// Text of the daemon's [strategy] section.
   std::string Strategy;
   uint64_t Seed = 1;
 };
 
-/// A process and the address of its HTTP, and of its admin calls if any.
+/// One process of a deployment and the addresses that it listens on.
 struct Member {
   std::string Name;
   std::vector<std::string> Command;
   std::unique_ptr<Process> Running;
   http::Endpoint Http;
+  /// For a stand-in: the address for admin requests. For a side behind a relay:
+  /// the address on which it listens for the relay.
   http::Endpoint Admin;
-  /// Of a side: where it listens for entries.
+  /// For a side: the declared address, to which entries connect.
   http::Endpoint Wire;
 };
 
-/// Not thread-safe. The destructor kills what still runs.
+/// Not thread-safe. The destructor kills the processes that still run.
 class Fleet {
 public:
-  /// \p Programs is the folder of the built programs, \p Work an empty folder
-  /// for settings, declarations and logs.
+  /// \p Programs is the folder of the built programs. \p Work is a folder for
+  /// settings, declarations and logs; it is emptied first.
   Fleet(FleetShape Shape, std::string Programs, std::string Work);
-  /// Starts all and waits until a request could be served; throws
-  /// std::runtime_error if that takes too long.
+  /// Starts all processes and waits until a request is served. Throws
+  /// std::runtime_error if a step of the start times out.
   void start();
-  /// Starts one member again after it ended.
-  void restart(Member &M);
-  /// Writes the declarations and applies them; the tool's exit code.
+  /// Starts a process again; kills it first if it still runs.
+  void restart(Member &Target);
+  /// Writes the declarations and applies them. Returns the exit code of the
+  /// command-line tool.
   int apply();
-  /// Runs the command-line tool; its exit code. Output goes to tool.log.
+  /// Runs the command-line tool and returns its exit code. The output is
+  /// appended to tool.log.
   int tool(const std::vector<std::string> &Arguments);
-  /// True once every entry and side has this generation.
+  /// True if every entry and side has this generation of the declarations.
   bool generationInForce(uint64_t Generation);
-  /// Sums a counter over the admin pages of all engines.
+  /// The sum of a counter over all engines, from their /admin/counts pages.
   uint64_t engineCount(const std::string &Name);
-  /// Lines of /admin/runs of all engines or services.
-  std::vector<std::string> runs(const std::vector<Member> &Of);
-  /// The list of instances, as the platform shows it.
-  void setInstances(const std::vector<std::string> &Leaving,
+  /// The lines of the /admin/runs pages of these engines or services.
+  std::vector<std::string> runs(const std::vector<Member> &Upstreams);
+  /// Replaces the platform's list of instances. Engines and services in
+  /// \p Draining are listed as leaving, those in \p Gone are not listed, and
+  /// all others are listed as live.
+  void setInstances(const std::vector<std::string> &Draining,
                     const std::vector<std::string> &Gone = {});
-  /// An admin call; the body of the answer.
+  /// Sends an admin request. Returns the body of the response; empty if the
+  /// request failed.
   std::string admin(const http::Endpoint &To, const std::string &Target,
                     const std::string &Method = "POST",
                     const std::string &Body = {});
-  /// Sends SIGTERM to all sides and entries and waits; true if all exited 0.
+  /// Sends SIGTERM to all entries and then to all sides, and waits for them to
+  /// exit. True if every exit code is 0.
   bool stopGracefully();
 
   FleetShape Shape;
@@ -101,13 +115,13 @@
 
 private:
   void plan();
-  void planSides(std::vector<Member> &Sides, const std::vector<Member> &Beside,
-                 const char *Prefix);
+  void planSides(std::vector<Member> &Sides,
+                 const std::vector<Member> &Upstreams, const char *Prefix);
   Member makeMember(const std::string &Name);
-  std::string settingsText(const Member &M, const std::string &Role) const;
+  std::string settingsText(const Member &Target, const std::string &Role) const;
   void writeFile(const std::string &Path, const std::string &Text) const;
   void writeDeclarations();
-  void launch(Member &M);
+  void launch(Member &Target);
 
   std::string Programs;
   std::string Work;
--- a/testing/platform_process_test.cc
+++ b/testing/platform_process_test.cc
@@ -1,5 +1,6 @@
-// The real programs against stand-ins of the platform: settings, store, engines
-// and plain service over sockets, with signals. Waits are on conditions.
+// Tests of the real programs against stand-ins for the platform: settings
+// files, the store, engines and a plain service over sockets, and signals.
+// Tests wait for conditions rather than for fixed times.
 #include <doctest/doctest.h>
 
 #include <filesystem>
@@ -16,9 +17,9 @@
 
 namespace {
 
-constexpr double Patience = 60;
+constexpr double MaxWaitSeconds = 60;
 
-// Two entries, two engines with a side each, one plain service.
+// Two entries, two engines with one side each, and one plain service.
 class Deployment {
 public:
   Deployment()
@@ -85,7 +86,8 @@
     }
   }
 
-  // The value of a metric of the process at \p Host; empty if it has none.
+  // The value of a metric of the process at \p Host; empty if it is not
+  // exported.
   std::string metric(const std::string &Host, const std::string &Name) const {
     http::Request R;
     R.Target = "/metrics";
@@ -99,12 +101,13 @@
     return "";
   }
 
-  // Until it is served: entries learn of sides and engines as they come up.
-  bool servedSoon(size_t Entry, const std::string &Target,
-                  const std::string &Adapter = "") {
+  // Repeats a request until it is served: entries discover sides and engines
+  // while these start.
+  bool eventuallyServed(size_t Entry, const std::string &Target,
+                        const std::string &Adapter = "") {
     return eventually(
         [&] { return call(Entry, Target, Adapter).Head.Status == 200; },
-        Patience);
+        MaxWaitSeconds);
   }
 
   int stop(const std::string &Name) {
@@ -160,25 +163,26 @@
   std::map<std::string, std::unique_ptr<Process>> Processes;
 };
 
-size_t runsAt(const Deployment &D, const std::string &Id) {
-  return D.Platform.tally(Id).Ran.size();
+size_t runCount(const Deployment &System, const std::string &Id) {
+  return System.Platform.tally(Id).Ran.size();
 }
 
-void checkNoViolations(const Deployment &D) {
+void checkNoViolations(const Deployment &System) {
   for (const char *Id : {"e0", "e1"}) {
     CAPTURE(Id);
-    CHECK(D.Platform.tally(Id).Violations == 0);
-    CHECK(D.Platform.tally(Id).UnloadsInUse == 0);
+    CHECK(System.Platform.tally(Id).Violations == 0);
+    CHECK(System.Platform.tally(Id).UnloadsInUse == 0);
   }
 }
 
 } // namespace
 
-TEST_CASE("the whole path: streams, plain calls, unknown routes") {
-  Deployment D;
-  REQUIRE(eventually([&] { return D.ready(0) && D.ready(1); }, Patience));
-  REQUIRE(D.servedSoon(0, "/stream/x", "a1"));
-  const http::Response Stream = D.call(0, "/stream/x", "a1");
+TEST_CASE("streams, plain calls and unknown routes from caller to upstream") {
+  Deployment System;
+  REQUIRE(eventually([&] { return System.ready(0) && System.ready(1); },
+                     MaxWaitSeconds));
+  REQUIRE(System.eventuallyServed(0, "/stream/x", "a1"));
+  const http::Response Stream = System.call(0, "/stream/x", "a1");
   CHECK(Stream.Head.Status == 200);
   CHECK(Stream.Body.find("id: 5\n") != std::string::npos);
   CHECK(std::string(Stream.Head.header("Response-Seal")).substr(0, 5) ==
@@ -186,122 +190,128 @@
   // More adapters than there are slots, through both entries.
   for (int I = 0; I < 30; ++I) {
     const std::string Adapter = "a" + std::to_string(I % 10);
-    CHECK(
-        D.call(static_cast<size_t>(I % 2), "/stream/x", Adapter).Head.Status ==
-        200);
+    CHECK(System.call(static_cast<size_t>(I % 2), "/stream/x", Adapter)
+              .Head.Status == 200);
   }
-  REQUIRE(D.servedSoon(1, "/once/x"));
-  CHECK(D.call(0, "/once/x", "", "hello").Body == "done hello");
-  CHECK(D.call(0, "/none/x").Head.Status == 404);
-  CHECK(D.call(0, "/once/x", "", std::string(200000, 'x')).Head.Status == 413);
-  checkNoViolations(D);
+  REQUIRE(System.eventuallyServed(1, "/once/x"));
+  CHECK(System.call(0, "/once/x", "", "hello").Body == "done hello");
+  CHECK(System.call(0, "/none/x").Head.Status == 404);
+  CHECK(System.call(0, "/once/x", "", std::string(200000, 'x')).Head.Status ==
+        413);
+  checkNoViolations(System);
 }
 
-TEST_CASE("configuration, drains and versions are followed") {
-  Deployment D;
-  REQUIRE(D.servedSoon(0, "/stream/x", "a1"));
-  REQUIRE(D.servedSoon(1, "/stream/x", "a1"));
-  CHECK(D.call(0, "/extra/x").Head.Status == 404);
-  D.Platform.putConfig(2, true);
+TEST_CASE(
+    "changes of configuration, drain state and adapter version take effect") {
+  Deployment System;
+  REQUIRE(System.eventuallyServed(0, "/stream/x", "a1"));
+  REQUIRE(System.eventuallyServed(1, "/stream/x", "a1"));
+  CHECK(System.call(0, "/extra/x").Head.Status == 404);
+  System.Platform.putConfig(2, true);
   for (const size_t Entry : {0, 1})
-    CHECK(D.servedSoon(Entry, "/extra/x"));
+    CHECK(System.eventuallyServed(Entry, "/extra/x"));
 
-  // A watch that waits when the history is dropped is not told.
-  D.Platform.dropHistory();
-  D.Platform.putConfig(3, false);
+  // A watch that is open when the store drops its log of changes is not
+  // notified of that.
+  System.Platform.dropHistory();
+  System.Platform.putConfig(3, false);
   for (const size_t Entry : {0, 1})
-    CHECK(
-        eventually([&] { return D.call(Entry, "/extra/x").Head.Status == 404; },
-                   Patience));
+    CHECK(eventually(
+        [&] { return System.call(Entry, "/extra/x").Head.Status == 404; },
+        MaxWaitSeconds));
 
-  // Sides learn it from entries.
+  // Sides receive the configuration from entries.
   for (const char *Host : {"127.0.2.1", "127.0.2.2", "127.0.1.1", "127.0.1.2"})
     CHECK(eventually(
-        [&] { return D.metric(Host, "goldcrestlink_config_version") == "3"; },
-        Patience));
+        [&] {
+          return System.metric(Host, "goldcrestlink_config_version") == "3";
+        },
+        MaxWaitSeconds));
 
-  D.Platform.release("a1", 2);
+  System.Platform.release("a1", 2);
   CHECK(eventually(
       [&] {
-        return D.call(0, "/stream/x", "a1").Head.header("Weight-Versions") ==
-               "2";
+        return System.call(0, "/stream/x", "a1")
+                   .Head.header("Weight-Versions") == "2";
       },
-      Patience));
+      MaxWaitSeconds));
 
-  D.Platform.drain("e0");
-  // Both entries have learned of it once a request of each for any adapter
-  // goes to the other engine.
+  System.Platform.drain("e0");
+  // An entry has applied the drain once its requests for any adapter go to the
+  // other engine.
   for (const size_t Entry : {0, 1})
     CHECK(eventually(
         [&] {
-          const size_t Before = runsAt(D, "e0");
-          bool All = true;
+          const size_t Before = runCount(System, "e0");
+          bool AllServed = true;
           for (int I = 0; I < 6; ++I)
-            All &= D.call(Entry, "/stream/x", "b" + std::to_string(I))
-                       .Head.Status == 200;
-          return All && runsAt(D, "e0") == Before;
+            AllServed &=
+                System.call(Entry, "/stream/x", "b" + std::to_string(I))
+                    .Head.Status == 200;
+          return AllServed && runCount(System, "e0") == Before;
         },
-        Patience));
-  const size_t Before = runsAt(D, "e0");
+        MaxWaitSeconds));
+  const size_t Before = runCount(System, "e0");
   for (int I = 0; I < 10; ++I)
-    CHECK(
-        D.call(static_cast<size_t>(I % 2), "/stream/x", "c" + std::to_string(I))
-            .Head.Status == 200);
-  CHECK(runsAt(D, "e0") == Before);
-  checkNoViolations(D);
+    CHECK(System
+              .call(static_cast<size_t>(I % 2), "/stream/x",
+                    "c" + std::to_string(I))
+              .Head.Status == 200);
+  CHECK(runCount(System, "e0") == Before);
+  checkNoViolations(System);
 }
 
-TEST_CASE("the store's outage and restarts in it") {
-  Deployment D;
-  REQUIRE(D.servedSoon(0, "/stream/x", "a1"));
-  REQUIRE(D.servedSoon(1, "/stream/x", "a1"));
-  D.Platform.setStoreDown(true);
-  CHECK(D.call(0, "/stream/x", "a1").Head.Status == 200);
-  // An entry that starts meanwhile learns from the others.
-  D.kill("entry1");
-  D.startEntry(1);
-  CHECK(eventually([&] { return D.ready(1); }, Patience));
-  CHECK(D.servedSoon(1, "/once/x"));
-  CHECK(D.servedSoon(1, "/stream/x", "a1"));
-  D.Platform.setStoreDown(false);
-  D.Platform.putConfig(2, true);
-  CHECK(D.servedSoon(1, "/extra/x"));
-  checkNoViolations(D);
+TEST_CASE("an entry restarted during a store outage serves requests") {
+  Deployment System;
+  REQUIRE(System.eventuallyServed(0, "/stream/x", "a1"));
+  REQUIRE(System.eventuallyServed(1, "/stream/x", "a1"));
+  System.Platform.setStoreDown(true);
+  CHECK(System.call(0, "/stream/x", "a1").Head.Status == 200);
+  // An entry that starts during the outage gets its state from the others.
+  System.kill("entry1");
+  System.startEntry(1);
+  CHECK(eventually([&] { return System.ready(1); }, MaxWaitSeconds));
+  CHECK(System.eventuallyServed(1, "/once/x"));
+  CHECK(System.eventuallyServed(1, "/stream/x", "a1"));
+  System.Platform.setStoreDown(false);
+  System.Platform.putConfig(2, true);
+  CHECK(System.eventuallyServed(1, "/extra/x"));
+  checkNoViolations(System);
 }
 
-TEST_CASE("engines that start again, sides that die") {
-  Deployment D;
-  REQUIRE(D.servedSoon(0, "/stream/x", "a1"));
+TEST_CASE("requests are served after engine restarts and the loss of a side") {
+  Deployment System;
+  REQUIRE(System.eventuallyServed(0, "/stream/x", "a1"));
   for (const char *Id : {"e0", "e1"})
-    D.Platform.restartEngine(Id);
-  CHECK(D.servedSoon(0, "/stream/x", "a1"));
-  CHECK(D.servedSoon(1, "/stream/x", "a2"));
-  D.kill("side0");
+    System.Platform.restartEngine(Id);
+  CHECK(System.eventuallyServed(0, "/stream/x", "a1"));
+  CHECK(System.eventuallyServed(1, "/stream/x", "a2"));
+  System.kill("side0");
   for (int I = 0; I < 6; ++I)
-    CHECK(D.servedSoon(0, "/stream/x", "d" + std::to_string(I)));
-  checkNoViolations(D);
+    CHECK(System.eventuallyServed(0, "/stream/x", "d" + std::to_string(I)));
+  checkNoViolations(System);
 }
 
-TEST_CASE("a planned stop answers what has begun") {
-  Deployment D;
-  REQUIRE(D.servedSoon(0, "/stream/x", "a1"));
-  REQUIRE(D.servedSoon(0, "/once/x"));
-  std::atomic<bool> Going{true};
-  std::atomic<int> Cut{0};
-  std::atomic<int> Whole{0};
-  // A caller that goes on until the process is gone: its requests are answered
-  // whole or not accepted at all.
+TEST_CASE("a graceful shutdown completes the requests in progress") {
+  Deployment System;
+  REQUIRE(System.eventuallyServed(0, "/stream/x", "a1"));
+  REQUIRE(System.eventuallyServed(0, "/once/x"));
+  std::atomic<bool> Sending{true};
+  std::atomic<int> Truncated{0};
+  std::atomic<int> Complete{0};
+  // The caller sends requests until the process has exited. Each is answered in
+  // full or not accepted at all.
   std::thread Caller([&] {
-    while (Going) {
-      const http::Response R = D.call(0, "/stream/x", "a1");
+    while (Sending) {
+      const http::Response R = System.call(0, "/stream/x", "a1");
       if (R.Head.Status == 200)
-        ++(R.Body.find("id: 5\n") == std::string::npos ? Cut : Whole);
+        ++(R.Body.find("id: 5\n") == std::string::npos ? Truncated : Complete);
     }
   });
-  CHECK(eventually([&] { return Whole > 3; }, Patience));
-  CHECK(D.stop("entry0") == 0);
-  Going = false;
+  CHECK(eventually([&] { return Complete > 3; }, MaxWaitSeconds));
+  CHECK(System.stop("entry0") == 0);
+  Sending = false;
   Caller.join();
-  CHECK(Cut == 0);
-  CHECK(D.servedSoon(1, "/stream/x", "a1"));
+  CHECK(Truncated == 0);
+  CHECK(System.eventuallyServed(1, "/stream/x", "a1"));
 }
--- a/testing/platform_standin.cc
+++ b/testing/platform_standin.cc
@@ -1,5 +1,5 @@
-// One thread runs the store and all upstreams; each public call is posted to it
-// and waited for.
+// One thread runs the store and all upstreams. Each public function posts its
+// work to that thread and waits for the result.
 #include "testing/platform_standin.h"
 
 #include <thread>
@@ -58,13 +58,13 @@
             {"idle_ms", 15000}}}};
 }
 
-Json entryOf(const UpstreamStandIn &U) {
+Json serverRecord(const UpstreamStandIn &U) {
   return {{"service", U.spec().Service},
           {"address", U.spec().Published.text()},
           {"zone", "z"},
           {"version", "v1"},
           {"slots", 6},
-          {"state", U.leaving() ? "draining" : "ready"},
+          {"state", U.draining() ? "draining" : "ready"},
           {"cold_left_ms", 0},
           {"seq", U.orderCount()}};
 }
@@ -85,8 +85,8 @@
 
   UpstreamStandIn &at(const std::string &Name) { return *Upstreams.at(Name); }
 
-  void enter(const UpstreamStandIn &U) {
-    Store.put("servers", U.spec().Id, entryOf(U));
+  void writeRecord(const UpstreamStandIn &U) {
+    Store.put("servers", U.spec().Id, serverRecord(U));
   }
 
   boost::asio::io_context Io{1};
@@ -97,23 +97,23 @@
 };
 
 template <class F> auto PlatformStandIn::onThread(F Do) const {
-  return callOn(Shared->Io, std::move(Do));
+  return callOn(Impl->Io, std::move(Do));
 }
 
 PlatformStandIn::PlatformStandIn(UpstreamObserver *Observer)
-    : Shared(std::make_unique<State>()) {
-  onThread([&] { Shared->Common.Observer = Observer; });
+    : Impl(std::make_unique<State>()) {
+  onThread([&] { Impl->Common.Observer = Observer; });
 }
 
 PlatformStandIn::~PlatformStandIn() = default;
 
 http::Endpoint PlatformStandIn::store() const {
-  return {"127.0.0.1", onThread([&] { return Shared->Store.port(); })};
+  return {"127.0.0.1", onThread([&] { return Impl->Store.port(); })};
 }
 
 void PlatformStandIn::putConfig(int Version, bool Extra) {
   onThread(
-      [&] { Shared->Store.put("config", "main", configSpec(Version, Extra)); });
+      [&] { Impl->Store.put("config", "main", configSpec(Version, Extra)); });
 }
 
 void PlatformStandIn::addEngine(const std::string &Id,
@@ -126,101 +126,101 @@
   add({Id, "plain", {Address, Port}, {Address, Port}, false});
 }
 
-void PlatformStandIn::add(UpstreamStandIn::Spec S) {
+void PlatformStandIn::add(UpstreamStandIn::Spec Description) {
   onThread([&] {
-    const std::string Name = S.Id;
-    auto &U = Shared->Upstreams[Name];
-    U = std::make_unique<UpstreamStandIn>(Shared->Io, std::move(S),
-                                          Shared->Common);
+    const std::string Name = Description.Id;
+    auto &U = Impl->Upstreams[Name];
+    U = std::make_unique<UpstreamStandIn>(Impl->Io, std::move(Description),
+                                          Impl->Common);
     U->start(Name);
-    Shared->enter(*U);
+    Impl->writeRecord(*U);
   });
 }
 
 void PlatformStandIn::drain(const std::string &Name) {
   onThread([&] {
-    Shared->at(Name).setLeaving(presentTime().Steady);
-    Shared->enter(Shared->at(Name));
+    Impl->at(Name).setDraining(presentTime().Steady);
+    Impl->writeRecord(Impl->at(Name));
   });
 }
 
 void PlatformStandIn::restore(const std::string &Name) {
   onThread([&] {
-    Shared->at(Name).setLeaving(Time{});
-    Shared->enter(Shared->at(Name));
+    Impl->at(Name).setDraining(Time{});
+    Impl->writeRecord(Impl->at(Name));
   });
 }
 
 void PlatformStandIn::remove(const std::string &Name) {
   onThread([&] {
-    Shared->at(Name).setLeaving(presentTime().Steady);
-    Shared->Store.erase("servers", Shared->at(Name).spec().Id);
+    Impl->at(Name).setDraining(presentTime().Steady);
+    Impl->Store.erase("servers", Impl->at(Name).spec().Id);
   });
 }
 
 void PlatformStandIn::putGarbage() {
   onThread([&] {
-    Shared->Store.put("servers", "unreadable",
-                      {{"service", 7}, {"address", Json::array()}});
-    Shared->Store.put("versions", "unreadable", {{"model", nullptr}});
-    Shared->Store.put("config", "unreadable", {{"version", "x"}});
+    Impl->Store.put("servers", "unreadable",
+                    {{"service", 7}, {"address", Json::array()}});
+    Impl->Store.put("versions", "unreadable", {{"model", nullptr}});
+    Impl->Store.put("config", "unreadable", {{"version", "x"}});
   });
 }
 
 void PlatformStandIn::restartEngine(const std::string &Name) {
-  onThread([&] { Shared->at(Name).forget(); });
+  onThread([&] { Impl->at(Name).resetState(); });
 }
 
 void PlatformStandIn::crash(const std::string &Name) {
   onThread([&] {
-    if (Shared->at(Name).running())
-      Shared->at(Name).crash();
+    if (Impl->at(Name).running())
+      Impl->at(Name).crash();
   });
 }
 
 bool PlatformStandIn::start(const std::string &Name, const std::string &Id) {
   return onThread([&] {
-    UpstreamStandIn &U = Shared->at(Name);
+    UpstreamStandIn &U = Impl->at(Name);
     if (U.running())
       return false;
-    const std::string Before = U.spec().Id;
-    if (!Id.empty() && Id != Before)
-      Shared->Store.erase("servers", Before);
-    U.start(Id.empty() ? Before : Id);
-    U.setLeaving(Time{});
-    Shared->enter(U);
+    const std::string PreviousId = U.spec().Id;
+    if (!Id.empty() && Id != PreviousId)
+      Impl->Store.erase("servers", PreviousId);
+    U.start(Id.empty() ? PreviousId : Id);
+    U.setDraining(Time{});
+    Impl->writeRecord(U);
     return true;
   });
 }
 
 void PlatformStandIn::setFault(const std::string &Name, UpstreamFault F) {
-  onThread([&] { Shared->at(Name).setFault(F); });
+  onThread([&] { Impl->at(Name).setFault(F); });
 }
 
 void PlatformStandIn::release(const std::string &Adapter, int Version) {
   onThread([&] {
-    Shared->Common.Releases[Adapter] = {Version, presentTime().Steady};
-    Shared->Store.put(
+    Impl->Common.Releases[Adapter] = {Version, presentTime().Steady};
+    Impl->Store.put(
         "versions", "m." + Adapter,
         {{"model", "m"}, {"adapter", Adapter}, {"version", Version}});
   });
 }
 
 void PlatformStandIn::setStoreFault(StoreFault F) {
-  onThread([&] { Shared->Store.setFault(F); });
+  onThread([&] { Impl->Store.setFault(F); });
 }
 
 void PlatformStandIn::dropHistory() {
-  onThread([&] { Shared->Store.dropHistory(); });
+  onThread([&] { Impl->Store.dropHistory(); });
 }
 
 UpstreamTally PlatformStandIn::tally(const std::string &Name) const {
-  return onThread([&] { return Shared->at(Name).tally(); });
+  return onThread([&] { return Impl->at(Name).tally(); });
 }
 
 std::map<std::string, int>
 PlatformStandIn::held(const std::string &Name) const {
-  return onThread([&] { return Shared->at(Name).held(); });
+  return onThread([&] { return Impl->at(Name).held(); });
 }
 
 } // namespace goldcrestlink::testing
--- a/testing/platform_standin.h
+++ b/testing/platform_standin.h
@@ -1,12 +1,12 @@
-// Stand-ins that speak the platform's published protocol on loopback: its store
-// with lists and watches, engines with reports, orders and streams, and a plain
-// service. They run on one thread of the test's own process; the programs under
-// test are real processes.
+// Stand-ins that implement the platform's published protocol on the loopback
+// interface: the store with lists and watches, engines with reports, orders and
+// streams, and plain services. They run on one thread of the test process; the
+// programs under test are separate processes.
 //
-//   PlatformStandIn P;
-//   P.putConfig(1);
-//   P.addEngine("e0", "127.0.1.1", Port);
-//   http::Endpoint Store = P.store();
+//   PlatformStandIn Platform;
+//   Platform.putConfig(1);
+//   Platform.addEngine("e0", "127.0.1.1", Port);
+//   http::Endpoint Store = Platform.store();
 #ifndef GOLDCRESTLINK_TESTING_PLATFORM_STANDIN_H
 #define GOLDCRESTLINK_TESTING_PLATFORM_STANDIN_H
 
@@ -20,62 +20,70 @@
 
 namespace goldcrestlink::testing {
 
-/// Thread-safe: each call is carried out on the stand-ins' thread. Upstreams
-/// are named by the id under which they were added, also when they start again
-/// under another.
+/// Thread-safe: each call runs on the thread of the stand-ins. The name of an
+/// upstream is the id under which it was added, also after a restart under
+/// another id.
 class PlatformStandIn {
 public:
-  /// Attempts that routes allow for one request.
+  /// The maximum number of attempts per request in the routes.
   static constexpr int MaxAttempts = 2;
 
-  /// \p Observer hears what upstreams do and outlives the stand-ins.
+  /// \p Observer, if any, is notified of what upstreams do. It must outlive the
+  /// stand-ins.
   explicit PlatformStandIn(UpstreamObserver *Observer = nullptr);
   ~PlatformStandIn();
 
+  /// The address of the store.
   http::Endpoint store() const;
-  /// Writes a configuration of this version: routes /once/, /read/ and
-  /// /stream/ of host "h", and /extra/ if \p Extra.
+  /// Writes a configuration of this version. It has the routes /once/, /read/
+  /// and /stream/ of host "h", and also /extra/ if \p Extra.
   void putConfig(int Version, bool Extra = false);
-  /// Starts an engine and registers it. Precondition: the address is loopback.
+  /// Starts an engine and adds its record to the store. Precondition: the
+  /// address is a loopback address.
   void addEngine(const std::string &Id, const std::string &Address,
                  uint16_t Port);
+  /// The same for a plain service.
   void addPlain(const std::string &Id, const std::string &Address,
                 uint16_t Port);
-  /// Starts an upstream that the store says to be at another address.
-  void add(UpstreamStandIn::Spec S);
-  /// Writes the upstream's entry again as draining, or as ready, or removes it.
+  /// Starts an upstream whose address in the store may differ from the one on
+  /// which it listens.
+  void add(UpstreamStandIn::Spec Description);
+  /// Sets the upstream's record in the store to draining or to ready, or
+  /// removes the record.
   void drain(const std::string &Name);
   void restore(const std::string &Name);
   void remove(const std::string &Name);
-  /// Writes an entry, a release and a configuration that nobody can read.
+  /// Writes an invalid upstream record, release and configuration.
   void putGarbage();
-  /// An engine starts again under the same id, holding nothing.
+  /// Resets an engine to holding no model or adapter, under the same id and
+  /// with its connections open.
   void restartEngine(const std::string &Name);
-  /// The upstream ends, cutting what it runs; its entry stays. Nothing happens
-  /// if it does not run.
+  /// Stops the upstream and cuts off its runs; its record stays in the store.
+  /// Does nothing if the upstream is not running.
   void crash(const std::string &Name);
-  /// It starts again and is entered as ready, under \p Id if one is given.
-  /// False, and nothing happens, if it runs.
+  /// Restarts the upstream, under \p Id unless that is empty, and writes its
+  /// record as ready. Returns false and does nothing if the upstream is
+  /// running.
   bool start(const std::string &Name, const std::string &Id = "");
   void setFault(const std::string &Name, UpstreamFault F);
-  /// Announces a version of adapter \p Adapter.
+  /// Announces a version of an adapter in the store.
   void release(const std::string &Adapter, int Version);
-  /// While set, every call to the store is answered 503.
+  /// While set, the store answers every request with 503.
   void setStoreDown(bool Down) {
     setStoreFault(Down ? StoreFault::Unavailable : StoreFault::None);
   }
   void setStoreFault(StoreFault F);
-  /// Drops the history; watches that wait hear nothing of it.
+  /// Drops the store's log of changes. Open watches are not notified.
   void dropHistory();
   UpstreamTally tally(const std::string &Name) const;
-  /// Versions of the adapters that an engine holds, by name.
+  /// The adapters that an engine holds, with their versions.
   std::map<std::string, int> held(const std::string &Name) const;
 
   struct State;
 
 private:
   template <class F> auto onThread(F Do) const;
-  std::unique_ptr<State> Shared;
+  std::unique_ptr<State> Impl;
 };
 
 } // namespace goldcrestlink::testing
--- a/testing/process.cc
+++ b/testing/process.cc
@@ -1,5 +1,5 @@
-// Ports are reserved by binding port 0 and closing; a set keeps them apart
-// within one process.
+// A free port is found by binding port 0 and closing the socket. A set of the
+// returned ports ensures that no two calls in one process return the same port.
 #include "testing/process.h"
 
 #include <chrono>
@@ -36,13 +36,14 @@
   posix_spawn_file_actions_addopen(&Actions, STDOUT_FILENO, Output.c_str(),
                                    O_WRONLY | O_CREAT | O_APPEND, 0644);
   posix_spawn_file_actions_adddup2(&Actions, STDOUT_FILENO, STDERR_FILENO);
-  // The child would keep this process's sockets open beyond their end here.
+  // A child that inherited the sockets of this process would keep them open
+  // after this process has closed them.
   posix_spawn_file_actions_addclosefrom_np(&Actions, STDERR_FILENO + 1);
-  const int Error = posix_spawn(&Id, Arguments[0], &Actions, nullptr,
+  const int Error = posix_spawn(&Pid, Arguments[0], &Actions, nullptr,
                                 Arguments.data(), environ);
   posix_spawn_file_actions_destroy(&Actions);
   if (Error != 0) {
-    Id = -1;
+    Pid = -1;
     throw std::runtime_error("cannot start " + Command[0]);
   }
 }
@@ -50,42 +51,42 @@
 Process::~Process() {
   if (!running())
     return;
-  ::kill(Id, SIGKILL);
+  ::kill(Pid, SIGKILL);
   wait();
 }
 
 void Process::signal(int Number) const {
-  if (Id > 0)
-    ::kill(Id, Number);
+  if (Pid > 0)
+    ::kill(Pid, Number);
 }
 
 int Process::wait() {
-  if (Id <= 0)
-    return Exit;
+  if (Pid <= 0)
+    return ExitCode;
   int Status = 0;
-  ::waitpid(Id, &Status, 0);
-  Id = -1;
-  Exit = WIFEXITED(Status) ? WEXITSTATUS(Status)
-                           : SignalExitBase + WTERMSIG(Status);
-  return Exit;
+  ::waitpid(Pid, &Status, 0);
+  Pid = -1;
+  ExitCode = WIFEXITED(Status) ? WEXITSTATUS(Status)
+                               : SignalExitBase + WTERMSIG(Status);
+  return ExitCode;
 }
 
 bool Process::running() {
-  if (Id <= 0)
+  if (Pid <= 0)
     return false;
   int Status = 0;
-  if (::waitpid(Id, &Status, WNOHANG) != Id)
+  if (::waitpid(Pid, &Status, WNOHANG) != Pid)
     return true;
-  Id = -1;
-  Exit = WIFEXITED(Status) ? WEXITSTATUS(Status)
-                           : SignalExitBase + WTERMSIG(Status);
+  Pid = -1;
+  ExitCode = WIFEXITED(Status) ? WEXITSTATUS(Status)
+                               : SignalExitBase + WTERMSIG(Status);
   return false;
 }
 
 double Process::processorSeconds() const {
   constexpr int UserTicksField = 14;
   constexpr int SystemTicksField = 15;
-  std::ifstream In("/proc/" + std::to_string(Id) + "/stat");
+  std::ifstream In("/proc/" + std::to_string(Pid) + "/stat");
   double Ticks = 0;
   std::string Word;
   for (int Field = 1; In >> Word; ++Field)
@@ -95,7 +96,7 @@
 }
 
 double Process::peakMemoryMb() const {
-  std::ifstream In("/proc/" + std::to_string(Id) + "/status");
+  std::ifstream In("/proc/" + std::to_string(Pid) + "/status");
   std::string Word;
   while (In >> Word)
     if (Word == "VmHWM:") {
@@ -109,13 +110,13 @@
 size_t Process::openFiles() const {
   std::error_code Ended;
   const std::filesystem::directory_iterator Files(
-      "/proc/" + std::to_string(Id) + "/fd", Ended);
+      "/proc/" + std::to_string(Pid) + "/fd", Ended);
   return Ended ? 0
                : static_cast<size_t>(std::distance(begin(Files), end(Files)));
 }
 
 int freePort() {
-  static std::set<int> Given;
+  static std::set<int> Returned;
   for (;;) {
     const int Socket = ::socket(AF_INET, SOCK_STREAM, 0);
     sockaddr_in Address{};
@@ -130,7 +131,7 @@
     if (!Bound)
       throw std::runtime_error("no free port");
     const int Port = ntohs(Address.sin_port);
-    if (Given.insert(Port).second)
+    if (Returned.insert(Port).second)
       return Port;
   }
 }
--- a/testing/process.h
+++ b/testing/process.h
@@ -1,5 +1,5 @@
-// Child processes for tests, examples and benchmarks: started with their
-// output in a file, signalled and awaited by id.
+// Child processes for tests, examples and benchmarks, with their output
+// redirected to a file.
 //
 //   Process P({"build/goldcrestlinkd", "--settings", "e.ini"}, "e.log");
 //   P.signal(SIGTERM);
@@ -18,36 +18,39 @@
 /// Not thread-safe. The destructor kills a process that still runs.
 class Process {
 public:
-  /// Starts it; throws std::runtime_error if it cannot be started.
+  /// Runs \p Command with standard output and error appended to the file
+  /// \p Output. Throws std::runtime_error if it cannot be started.
   Process(const std::vector<std::string> &Command, const std::string &Output);
-  Process(Process &&Other) noexcept : Id(Other.Id) { Other.Id = -1; }
+  Process(Process &&Other) noexcept : Pid(Other.Pid) { Other.Pid = -1; }
   Process &operator=(Process &&) = delete;
   ~Process();
+  /// Sends a signal. Does nothing if the exit has already been observed.
   void signal(int Number) const;
-  /// Waits for the end; the exit code, or 128 and the signal.
+  /// Waits for the process to exit. Returns its exit code, or 128 plus the
+  /// number of the signal that ended it.
   int wait();
-  /// True while it has not ended.
+  /// True if the process has not exited.
   bool running();
-  /// Processor time that it has used so far, in seconds.
+  /// User and system processor time used so far, in seconds.
   double processorSeconds() const;
-  /// The most memory that it has had resident, in MB; 0 if it has ended.
+  /// Peak resident memory in MB (1024 * 1024 bytes); 0 if it has exited.
   double peakMemoryMb() const;
-  /// Files and sockets that it has open; 0 if it has ended.
+  /// Number of open files and sockets; 0 if it has exited.
   size_t openFiles() const;
 
 private:
-  pid_t Id = -1;
-  int Exit = -1;
+  pid_t Pid = -1;
+  int ExitCode = -1;
 };
 
-/// A TCP port that was free a moment ago, given to no other caller of this
-/// process.
+/// A TCP port of the loopback interface that was free at the time of the call.
+/// Returns each port only once per process. Not thread-safe.
 int freePort();
 
-/// Calls \p Condition until it holds; false if it does not for \p Seconds.
+/// Calls \p Holds every 20 ms until it returns true; false if it does not
+/// within \p Seconds.
 template <class Condition> bool eventually(Condition Holds, double Seconds);
 
-/// Sleeps for \p Milliseconds.
 void pauseFor(int Milliseconds);
 
 template <class Condition> bool eventually(Condition Holds, double Seconds) {
--- a/testing/process_test.cc
+++ b/testing/process_test.cc
@@ -1,5 +1,7 @@
-// What only processes show: real sockets and signals, the whole path under
-// load, restarts, outages and graceful stops. Waits are on conditions.
+// Tests that need separate processes: real sockets and signals, requests from
+// caller to upstream under load, restarts, outages and graceful shutdowns.
+// Tests wait for conditions rather than for fixed times, except where a fault
+// must last for some time.
 #include <atomic>
 #include <cstdlib>
 #include <filesystem>
@@ -23,7 +25,7 @@
 
 namespace {
 
-constexpr double Patience = 60;
+constexpr double MaxWaitSeconds = 60;
 
 std::string workFolder(const char *Name) {
   return (std::filesystem::temp_directory_path() /
@@ -31,7 +33,7 @@
       .string();
 }
 
-http::CallOptions patient() {
+http::CallOptions longTimeouts() {
   return http::CallOptions()
       .setConnectTimeout(std::chrono::seconds(30))
       .setSilenceTimeout(std::chrono::seconds(60))
@@ -45,7 +47,7 @@
   R.Target = Target;
   R.Fields = std::move(Fields);
   R.Body = Body;
-  return http::fetchNow(To, std::move(R), patient());
+  return http::fetchNow(To, std::move(R), longTimeouts());
 }
 
 std::string completionBody(const std::string &Model, const std::string &Tag,
@@ -65,7 +67,8 @@
   return Out;
 }
 
-// The text of an answer, whole or streamed; "incomplete" if it is cut.
+// The text of an answer, streamed or not. The text of a stream without its end
+// marker is prefixed with "incomplete".
 std::string answerText(const http::Response &R, bool Stream) {
   if (!Stream) {
     const auto Json = nlohmann::json::parse(R.Body, nullptr, false);
@@ -87,10 +90,10 @@
   return Done ? Out : "incomplete " + Out;
 }
 
-// Callers that send until told to stop, each checking its own answers.
+// Callers that send requests until stop(), and check their answers.
 class Callers {
 public:
-  Callers(Fleet &InF, size_t Count) : F(InF) {
+  Callers(Fleet &InDeployment, size_t Count) : Deployment(InDeployment) {
     for (size_t I = 0; I < Count; ++I)
       Threads.emplace_back([this, I] { run(I); });
   }
@@ -108,7 +111,7 @@
     return Problems;
   }
   size_t answered() const { return Answered; }
-  /// Entries still in use; callers skip those that were told to stop.
+  /// Callers send to the first EntriesInUse entries only.
   std::atomic<size_t> EntriesInUse{2};
 
 private:
@@ -123,26 +126,26 @@
                                 std::to_string(1 + R.below(2));
       try {
         const auto Answer =
-            post(F.Entries[R.below(EntriesInUse)].Http, "/v1/completions",
-                 completionBody(Model, Tag, Tokens, Stream));
+            post(Deployment.Entries[R.below(EntriesInUse)].Http,
+                 "/v1/completions", completionBody(Model, Tag, Tokens, Stream));
         if (Answer.Head.Status == 200 &&
             answerText(Answer, Stream) == expectedText(Tag, Tokens))
           ++Answered;
         else
-          note(Tag + " got " + std::to_string(Answer.Head.Status) + " " +
-               Answer.Body);
+          recordProblem(Tag + " got " + std::to_string(Answer.Head.Status) +
+                        " " + Answer.Body);
       } catch (const std::exception &E) {
-        note(Tag + ": " + E.what());
+        recordProblem(Tag + ": " + E.what());
       }
     }
   }
 
-  void note(std::string Problem) {
+  void recordProblem(std::string Problem) {
     const std::lock_guard<std::mutex> Lock(Mutex);
     Problems.push_back(std::move(Problem));
   }
 
-  Fleet &F;
+  Fleet &Deployment;
   std::atomic<bool> Stopping{false};
   std::atomic<size_t> Answered{0};
   std::mutex Mutex;
@@ -164,42 +167,44 @@
 } // namespace
 
 TEST_CASE(
-    "every caller gets its own whole answer, across a change and a stop") {
-  Fleet F(quickShape(), ".", workFolder("whole"));
-  F.start();
-  Callers C(F, 12);
-  CHECK(eventually([&] { return C.answered() > 200; }, Patience));
-  F.Shape.Versions = "1 2 3";
-  CHECK(F.apply() == 0);
-  CHECK(eventually([&] { return F.generationInForce(2); }, Patience));
-  CHECK(post(F.Entries[1].Http, "/v1/completions",
+    "callers get their own complete answers across an update and shutdowns") {
+  Fleet Deployment(quickShape(), ".", workFolder("whole"));
+  Deployment.start();
+  Callers Traffic(Deployment, 12);
+  CHECK(eventually([&] { return Traffic.answered() > 200; }, MaxWaitSeconds));
+  Deployment.Shape.Versions = "1 2 3";
+  CHECK(Deployment.apply() == 0);
+  CHECK(eventually([&] { return Deployment.generationInForce(2); },
+                   MaxWaitSeconds));
+  CHECK(post(Deployment.Entries[1].Http, "/v1/completions",
              completionBody("a1@3", "new", 2, false))
             .Head.Status == 200);
-  // One side and one entry stop gracefully under load.
-  const size_t Before = C.answered();
-  F.EngineSides[0].Running->signal(SIGTERM);
-  CHECK(F.EngineSides[0].Running->wait() == 0);
-  C.EntriesInUse = 1;
-  F.Entries[1].Running->signal(SIGTERM);
-  CHECK(F.Entries[1].Running->wait() == 0);
-  CHECK(eventually([&] { return C.answered() > Before + 100; }, Patience));
-  C.stop();
-  for (const std::string &P : C.problems())
+  // One side and one entry shut down gracefully under load.
+  const size_t Before = Traffic.answered();
+  Deployment.EngineSides[0].Running->signal(SIGTERM);
+  CHECK(Deployment.EngineSides[0].Running->wait() == 0);
+  Traffic.EntriesInUse = 1;
+  Deployment.Entries[1].Running->signal(SIGTERM);
+  CHECK(Deployment.Entries[1].Running->wait() == 0);
+  CHECK(eventually([&] { return Traffic.answered() > Before + 100; },
+                   MaxWaitSeconds));
+  Traffic.stop();
+  for (const std::string &P : Traffic.problems())
     FAIL_CHECK(P);
-  CHECK(F.stopGracefully());
-  CHECK(F.engineCount("violations") == 0);
+  CHECK(Deployment.stopGracefully());
+  CHECK(Deployment.engineCount("violations") == 0);
 }
 
 namespace {
 
-http::Headers keyed(const std::string &Key, int64_t IssuedMs) {
+http::Headers keyHeaders(const std::string &Key, int64_t IssuedMs) {
   return {{"Idempotency-Key", Key},
           {"Idempotency-Key-Issued-At", std::to_string(IssuedMs)}};
 }
 
-std::map<std::string, int> keyRuns(Fleet &F) {
+std::map<std::string, int> keyRuns(Fleet &Deployment) {
   std::map<std::string, int> Out;
-  for (const std::string &Line : F.runs(F.Services)) {
+  for (const std::string &Line : Deployment.runs(Deployment.Services)) {
     const size_t Space = Line.rfind(' ');
     Out[Line.substr(0, Space)] += std::atoi(Line.c_str() + Space);
   }
@@ -213,40 +218,44 @@
   void (*Heal)(Fleet &);
 };
 
-// Faults of the process that owns keys, and of the platform, while callers
-// send every key twice through both entries.
+// Faults of a side that owns shards of keys, and of the platform, while callers
+// send every key through both entries.
 const OwnerFaultRow OwnerFaultRows[] = {
     {"owner frozen past its lease, then resumed", false,
-     [](Fleet &F) { F.ServiceSides[0].Running->signal(SIGSTOP); },
-     [](Fleet &F) { F.ServiceSides[0].Running->signal(SIGCONT); }},
+     [](Fleet &Deployment) {
+       Deployment.ServiceSides[0].Running->signal(SIGSTOP);
+     },
+     [](Fleet &Deployment) {
+       Deployment.ServiceSides[0].Running->signal(SIGCONT);
+     }},
     {"owner killed and replaced", true,
-     [](Fleet &F) {
-       F.ServiceSides[0].Running->signal(SIGKILL);
-       F.ServiceSides[0].Running->wait();
+     [](Fleet &Deployment) {
+       Deployment.ServiceSides[0].Running->signal(SIGKILL);
+       Deployment.ServiceSides[0].Running->wait();
      },
-     [](Fleet &F) { F.restart(F.ServiceSides[0]); }},
-    {"platform down, owner frozen in it", false,
-     [](Fleet &F) {
-       F.admin(F.Platform.Http, "/admin/outage?on=1");
-       F.ServiceSides[0].Running->signal(SIGSTOP);
+     [](Fleet &Deployment) { Deployment.restart(Deployment.ServiceSides[0]); }},
+    {"owner frozen during a platform outage", false,
+     [](Fleet &Deployment) {
+       Deployment.admin(Deployment.Platform.Http, "/admin/outage?on=1");
+       Deployment.ServiceSides[0].Running->signal(SIGSTOP);
      },
-     [](Fleet &F) {
-       F.ServiceSides[0].Running->signal(SIGCONT);
-       F.admin(F.Platform.Http, "/admin/outage?on=0");
+     [](Fleet &Deployment) {
+       Deployment.ServiceSides[0].Running->signal(SIGCONT);
+       Deployment.admin(Deployment.Platform.Http, "/admin/outage?on=0");
      }},
 };
 
 } // namespace
 
-TEST_CASE("no order runs twice, and none said not to run has run") {
+TEST_CASE("no order runs twice, and no order reported as not run has run") {
   for (const OwnerFaultRow &Row : OwnerFaultRows) {
     FleetShape Shape = quickShape();
     Shape.Engines = 1;
     Shape.LeaseMs = 1500;
     Shape.ServicesCheckFencing = Row.ChecksFencing;
-    Fleet F(Shape, ".", workFolder("orders"));
-    F.start();
-    std::set<std::string> Denied;
+    Fleet Deployment(Shape, ".", workFolder("orders"));
+    Deployment.start();
+    std::set<std::string> NotRun;
     std::set<std::string> Done;
     std::mutex Mutex;
     std::atomic<bool> Stopping{false};
@@ -257,18 +266,18 @@
             "k" + std::to_string(Thread) + "-" + std::to_string(I);
         const int64_t Issued = unixMillis(presentTime().Wall);
         for (size_t Entry = 0; Entry < 2; ++Entry) {
-          auto Fields = keyed(Key, Issued);
+          auto Fields = keyHeaders(Key, Issued);
           Fields.push_back({"X-Deadline-Ms", "1000"});
           try {
-            const auto A =
-                post(F.Entries[Entry].Http, "/work-orders", Key, Fields);
+            const auto A = post(Deployment.Entries[Entry].Http, "/work-orders",
+                                Key, Fields);
             const std::lock_guard<std::mutex> Lock(Mutex);
             if (A.Head.Status == 200)
               Done.insert(Key);
             else if (A.Body.find("\"not_run\"") != std::string::npos)
-              Denied.insert(Key);
+              NotRun.insert(Key);
             else
-              Denied.erase(Key);
+              NotRun.erase(Key);
           } catch (const std::exception &) {
             continue;
           }
@@ -279,143 +288,152 @@
     std::vector<std::thread> Threads;
     for (size_t I = 0; I < 6; ++I)
       Threads.emplace_back(Send, I);
-    CHECK(eventually([&] { return Sent > 60; }, Patience));
-    Row.Fault(F);
+    CHECK(eventually([&] { return Sent > 60; }, MaxWaitSeconds));
+    Row.Fault(Deployment);
     pauseFor(4000);
-    Row.Heal(F);
-    const auto DoneSoFar = [&] {
+    Row.Heal(Deployment);
+    const auto DoneCount = [&] {
       const std::lock_guard<std::mutex> Lock(Mutex);
       return Done.size();
     };
-    const size_t AfterHeal = DoneSoFar();
-    CHECK(eventually([&] { return DoneSoFar() > AfterHeal + 40; }, Patience));
+    const size_t AfterHeal = DoneCount();
+    CHECK(eventually([&] { return DoneCount() > AfterHeal + 40; },
+                     MaxWaitSeconds));
     Stopping = true;
     for (std::thread &T : Threads)
       T.join();
-    const auto Runs = keyRuns(F);
+    const auto Runs = keyRuns(Deployment);
     for (const auto &Run : Runs)
       if (Run.first != "none")
         CHECK_MESSAGE(Run.second <= 1, std::string(Row.Name)
                                            << " " << Run.first);
-    for (const std::string &Key : Denied)
+    for (const std::string &Key : NotRun)
       if (!Done.count(Key))
         CHECK_MESSAGE(!Runs.count(Key), std::string(Row.Name) << " " << Key);
   }
 }
 
-TEST_CASE("a silent connection is replaced, and no caller notices") {
+TEST_CASE("silent connections are replaced without a failed request") {
   FleetShape Shape = quickShape();
   Shape.Relay = true;
-  Fleet F(Shape, ".", workFolder("silent"));
-  F.start();
-  Callers C(F, 6);
-  CHECK(eventually([&] { return C.answered() > 100; }, Patience));
-  // All open connections of entry 1, to all sides.
-  CHECK(std::stoi(F.admin(F.Relay.Admin, "/admin/silence?source=127.0.0.2")) >
-        0);
-  const size_t Before = C.answered();
-  CHECK(eventually([&] { return C.answered() > Before + 200; }, Patience));
-  C.stop();
-  for (const std::string &P : C.problems())
+  Fleet Deployment(Shape, ".", workFolder("silent"));
+  Deployment.start();
+  Callers Traffic(Deployment, 6);
+  CHECK(eventually([&] { return Traffic.answered() > 100; }, MaxWaitSeconds));
+  // Silences all open connections of entry 1, to all sides.
+  CHECK(std::stoi(Deployment.admin(Deployment.Relay.Admin,
+                                   "/admin/silence?source=127.0.0.2")) > 0);
+  const size_t Before = Traffic.answered();
+  CHECK(eventually([&] { return Traffic.answered() > Before + 200; },
+                   MaxWaitSeconds));
+  Traffic.stop();
+  for (const std::string &P : Traffic.problems())
     FAIL_CHECK(P);
 }
 
-TEST_CASE("a leaving upstream gets nothing new after a few seconds") {
-  Fleet F(quickShape(), ".", workFolder("leaving"));
-  F.start();
-  Callers C(F, 4);
-  CHECK(eventually([&] { return C.answered() > 50; }, Patience));
-  F.setInstances({"engine-1"});
+TEST_CASE("a draining upstream gets no new requests after a few seconds") {
+  Fleet Deployment(quickShape(), ".", workFolder("leaving"));
+  Deployment.start();
+  Callers Traffic(Deployment, 4);
+  CHECK(eventually([&] { return Traffic.answered() > 50; }, MaxWaitSeconds));
+  Deployment.setInstances({"engine-1"});
   const auto RunsAtFirst = [&] {
-    return F.admin(F.Engines[0].Admin, "/admin/runs", "GET").size();
+    return Deployment.admin(Deployment.Engines[0].Admin, "/admin/runs", "GET")
+        .size();
   };
-  // Nothing new for two seconds, while others are served.
+  // No new run for two seconds, while the other engines serve requests.
   CHECK(eventually(
       [&] {
         const size_t Runs = RunsAtFirst();
-        const size_t Answered = C.answered();
+        const size_t Answered = Traffic.answered();
         pauseFor(2000);
-        return RunsAtFirst() == Runs && C.answered() > Answered;
+        return RunsAtFirst() == Runs && Traffic.answered() > Answered;
       },
-      Patience));
-  C.stop();
-  for (const std::string &P : C.problems())
+      MaxWaitSeconds));
+  Traffic.stop();
+  for (const std::string &P : Traffic.problems())
     FAIL_CHECK(P);
 }
 
-TEST_CASE("a start in an outage serves what its peers have") {
-  Fleet F(quickShape(), ".", workFolder("outage"));
-  F.start();
-  F.admin(F.Platform.Http, "/admin/outage?on=1");
-  F.Entries[0].Running->signal(SIGKILL);
-  F.Entries[0].Running->wait();
-  F.restart(F.Entries[0]);
-  CHECK(eventually([&] { return F.generationInForce(1); }, Patience));
-  CHECK(post(F.Entries[0].Http, "/v1/completions",
+TEST_CASE("an entry restarted in an outage gets its state from its peers") {
+  Fleet Deployment(quickShape(), ".", workFolder("outage"));
+  Deployment.start();
+  Deployment.admin(Deployment.Platform.Http, "/admin/outage?on=1");
+  Deployment.Entries[0].Running->signal(SIGKILL);
+  Deployment.Entries[0].Running->wait();
+  Deployment.restart(Deployment.Entries[0]);
+  CHECK(eventually([&] { return Deployment.generationInForce(1); },
+                   MaxWaitSeconds));
+  CHECK(post(Deployment.Entries[0].Http, "/v1/completions",
              completionBody("a1@1", "t", 3, true))
             .Head.Status == 200);
 }
 
-TEST_CASE("a poisonous request takes down at most two engines") {
+TEST_CASE("a poison request crashes at most two engines") {
   FleetShape Shape = quickShape();
   Shape.CrashDownMs = 300;
-  Fleet F(Shape, ".", workFolder("poison"));
-  F.start();
+  Fleet Deployment(Shape, ".", workFolder("poison"));
+  Deployment.start();
   for (int I = 0; I < 8; ++I)
-    post(F.Entries[static_cast<size_t>(I) % 2].Http, "/v1/completions",
+    post(Deployment.Entries[static_cast<size_t>(I) % 2].Http, "/v1/completions",
          R"({"model":"a1@1","prompt":"POISON","max_tokens":3})");
-  CHECK(F.engineCount("crashes") <= 2);
-  CHECK(F.engineCount("crashes") >= 1);
-  CHECK(post(F.Entries[0].Http, "/v1/completions",
+  CHECK(Deployment.engineCount("crashes") <= 2);
+  CHECK(Deployment.engineCount("crashes") >= 1);
+  CHECK(post(Deployment.Entries[0].Http, "/v1/completions",
              completionBody("a1@1", "t", 3, false))
             .Head.Status == 200);
 }
 
-TEST_CASE("a lost answer is resolved, and a race is reported") {
-  Fleet F(quickShape(), ".", workFolder("apply"));
-  F.start();
-  F.Shape.Adapters = 51;
-  F.admin(F.Platform.Http, "/admin/lose_answers?count=1000000");
-  CHECK(F.apply() == 0);
-  F.admin(F.Platform.Http, "/admin/lose_answers?count=0");
-  CHECK(eventually([&] { return F.generationInForce(2); }, Patience));
-  CHECK(F.apply() == 0); // Unchanged.
-  CHECK(F.tool({"apply", workFolder("apply") + "/declarations", "--platform",
-                F.Platform.Http.text(), "--if-generation", "1"}) == 3);
-  CHECK(F.tool({"check", workFolder("apply")}) == 2);
-  CHECK(F.tool({"nonsense"}) == 2);
+TEST_CASE("apply resolves lost responses and reports a generation conflict") {
+  Fleet Deployment(quickShape(), ".", workFolder("apply"));
+  Deployment.start();
+  Deployment.Shape.Adapters = 51;
+  Deployment.admin(Deployment.Platform.Http,
+                   "/admin/lose_answers?count=1000000");
+  CHECK(Deployment.apply() == 0);
+  Deployment.admin(Deployment.Platform.Http, "/admin/lose_answers?count=0");
+  CHECK(eventually([&] { return Deployment.generationInForce(2); },
+                   MaxWaitSeconds));
+  CHECK(Deployment.apply() == 0); // Unchanged.
+  CHECK(Deployment.tool({"apply", workFolder("apply") + "/declarations",
+                         "--platform", Deployment.Platform.Http.text(),
+                         "--if-generation", "1"}) == 3);
+  CHECK(Deployment.tool({"check", workFolder("apply")}) == 2);
+  CHECK(Deployment.tool({"nonsense"}) == 2);
 }
 
 TEST_CASE("operators read the status of all processes from the platform") {
-  Fleet F(quickShape(), ".", workFolder("status"));
-  F.start();
+  Fleet Deployment(quickShape(), ".", workFolder("status"));
+  Deployment.start();
   const std::vector<std::string> Status = {"--json", "status", "--platform",
-                                           F.Platform.Http.text()};
+                                           Deployment.Platform.Http.text()};
   const auto Processes = [&] {
     http::Request R;
     R.Target = "/objects/status/cell-1";
     const auto Json = nlohmann::json::parse(
-        http::fetchNow(F.Platform.Http, std::move(R), patient()).Body, nullptr,
-        false);
+        http::fetchNow(Deployment.Platform.Http, std::move(R), longTimeouts())
+            .Body,
+        nullptr, false);
     return Json.is_object() ? Json["processes"].size() : 0;
   };
   // 3 engines, 2 services, 2 entries.
-  CHECK(eventually([&] { return Processes() == 7; }, Patience));
-  CHECK(F.tool(Status) == 0);
+  CHECK(eventually([&] { return Processes() == 7; }, MaxWaitSeconds));
+  CHECK(Deployment.tool(Status) == 0);
 }
 
-TEST_CASE("a process that cannot start says why and exits non-zero") {
+TEST_CASE("a process that cannot start exits with a non-zero code") {
   const std::string Work = workFolder("start");
-  Fleet F(quickShape(), ".", Work);
-  F.start();
+  Fleet Deployment(quickShape(), ".", Work);
+  Deployment.start();
   const auto Run = [&](const std::string &Settings) {
     return Process({"./goldcrestlinkd", "--settings", Settings},
                    Work + "/refused.log")
         .wait();
   };
-  CHECK(Run(Work + "/" + F.Entries[0].Name + ".ini") == 1); // Port taken.
+  CHECK(Run(Work + "/" + Deployment.Entries[0].Name + ".ini") ==
+        1); // Port taken.
   CHECK(Run(Work + "/absent.ini") == 2);
-  CHECK(Run(Work + "/declarations/base.ini") == 2); // Not settings.
+  CHECK(Run(Work + "/declarations/base.ini") == 2); // Not a settings file.
 }
 
 namespace {
@@ -430,9 +448,9 @@
 
 } // namespace
 
-TEST_CASE("bad input gets a clear error and leaves the process serving") {
-  Fleet F(quickShape(), ".", workFolder("bad"));
-  F.start();
+TEST_CASE("invalid input is rejected and the process continues to serve") {
+  Fleet Deployment(quickShape(), ".", workFolder("bad"));
+  Deployment.start();
   const std::string Path = "/v1/completions";
   const BadHttpRow Rows[] = {
       {"malformed JSON", Path, "{", {}, 400},
@@ -448,24 +466,27 @@
     unsigned Status = Row.Status;
     try {
       Status =
-          post(F.Entries[0].Http, Row.Target, Row.Body, Row.Fields).Head.Status;
+          post(Deployment.Entries[0].Http, Row.Target, Row.Body, Row.Fields)
+              .Head.Status;
     } catch (const std::runtime_error &) {
-      // Refused while the body was still being sent.
+      // The entry closed the connection while the body was being sent.
     }
     CHECK_MESSAGE(Status == Row.Status, std::string(Row.Name));
   }
-  // Garbage, truncated frames and another wire version at a side's socket.
+  // Invalid frames at a side's socket: random bytes, a truncated frame and
+  // another wire version.
   zmq::context_t Context;
   zmq::socket_t Socket(Context, zmq::socket_type::dealer);
   Socket.set(zmq::sockopt::linger, 1000);
-  Socket.connect("tcp://" + F.EngineSides[0].Wire.text());
+  Socket.connect("tcp://" + Deployment.EngineSides[0].Wire.text());
   Random R(3);
   wire::Envelope Probe;
   Probe.mutable_probe()->set_probe_id("p");
-  const std::string Good = wire::serialiseFrame(Probe);
+  const std::string ValidFrame = wire::serialiseFrame(Probe);
   Probe.set_wire_version(wire::WireVersion + 1);
-  std::vector<std::string> Frames = {"", Good.substr(0, Good.size() / 2),
-                                     Probe.SerializeAsString()};
+  std::vector<std::string> Frames = {
+      "", ValidFrame.substr(0, ValidFrame.size() / 2),
+      Probe.SerializeAsString()};
   for (int I = 0; I < 100; ++I) {
     std::string Frame(R.below(200), 'x');
     for (char &C : Frame)
@@ -474,16 +495,17 @@
   }
   for (const std::string &Frame : Frames)
     Socket.send(zmq::buffer(Frame), zmq::send_flags::none);
-  Socket.send(zmq::buffer(Good), zmq::send_flags::none);
+  Socket.send(zmq::buffer(ValidFrame), zmq::send_flags::none);
   Socket.set(zmq::sockopt::rcvtimeo, 30000);
   zmq::message_t Answer;
-  CHECK(Socket.recv(Answer).has_value()); // The good one is answered.
-  CHECK(F.admin(F.EngineSides[0].Http, "/metrics", "GET")
+  CHECK(Socket.recv(Answer).has_value()); // Only the valid frame is answered.
+  CHECK(Deployment.admin(Deployment.EngineSides[0].Http, "/metrics", "GET")
             .find("bad_frames_total") != std::string::npos);
-  CHECK(post(F.Entries[0].Http, Path, completionBody("a1@1", "t", 2, false))
+  CHECK(post(Deployment.Entries[0].Http, Path,
+             completionBody("a1@1", "t", 2, false))
             .Head.Status == 200);
-  CHECK(F.admin(F.Entries[0].Http, "/metrics", "GET")
+  CHECK(Deployment.admin(Deployment.Entries[0].Http, "/metrics", "GET")
             .find("goldcrestlink_requests_total") != std::string::npos);
-  CHECK(F.admin(F.EngineSides[0].Http, "/metrics", "GET")
+  CHECK(Deployment.admin(Deployment.EngineSides[0].Http, "/metrics", "GET")
             .find("rank=\"urgent\"") != std::string::npos);
 }
--- a/testing/standin_support.h
+++ b/testing/standin_support.h
@@ -1,4 +1,5 @@
-// What the stand-ins share: timers, numbers in text, the type of JSON answers.
+// Helpers that the stand-ins share: timers, calls across threads, parsing of
+// numbers, and the header of JSON responses.
 //
 //   runLater(Io, std::chrono::milliseconds(10), [] { ... });
 #ifndef GOLDCRESTLINK_TESTING_STANDIN_SUPPORT_H
@@ -19,10 +20,11 @@
 
 namespace goldcrestlink::testing {
 
-/// Calls \p Do on Io's thread after \p D.
-inline void runLater(boost::asio::io_context &Io, std::chrono::milliseconds D,
+/// Calls \p Do on the thread that runs \p Io, after \p Delay.
+inline void runLater(boost::asio::io_context &Io,
+                     std::chrono::milliseconds Delay,
                      std::function<void()> Do) {
-  auto Timer = std::make_shared<boost::asio::steady_timer>(Io, D);
+  auto Timer = std::make_shared<boost::asio::steady_timer>(Io, Delay);
   Timer->async_wait(
       [Timer, Do = std::move(Do)](boost::system::error_code Error) {
         if (!Error)
@@ -30,8 +32,8 @@
       });
 }
 
-/// Calls \p Do on the thread that runs \p Io and waits for its result.
-/// Precondition: the caller is another thread.
+/// Calls \p Do on the thread that runs \p Io, waits and returns its result.
+/// Precondition: the caller is on another thread, and \p Io is running.
 template <class F> auto callOn(boost::asio::io_context &Io, F Do) {
   std::packaged_task<decltype(Do())()> Task(std::move(Do));
   auto Result = Task.get_future();
@@ -39,11 +41,11 @@
   return Result.get();
 }
 
-/// The number at the start of \p Text, or 0.
-inline uint64_t numberOf(std::string_view Text) {
-  uint64_t Out = 0;
-  std::from_chars(Text.data(), Text.data() + Text.size(), Out);
-  return Out;
+/// The decimal number at the start of \p Text; 0 if there is none.
+inline uint64_t parseNumber(std::string_view Text) {
+  uint64_t Number = 0;
+  std::from_chars(Text.data(), Text.data() + Text.size(), Number);
+  return Number;
 }
 
 inline http::Headers jsonType() {
--- a/testing/store_standin.cc
+++ b/testing/store_standin.cc
@@ -1,5 +1,6 @@
-// Watches that wait are answered by the next change of their kind, with all
-// changes since the revision that they named.
+// A watch stays open until the next change of its kind, and is then answered
+// with all changes since the revision that it named. A watch that is already
+// behind is answered at once, and any other after its maximum wait.
 #include "testing/store_standin.h"
 
 #include <algorithm>
@@ -12,13 +13,14 @@
 
 namespace {
 constexpr std::string_view Prefix = "/-/objects/";
-constexpr size_t TornBytes = 7;
+constexpr size_t TruncatedBytes = 7;
 } // namespace
 
 StoreStandIn::StoreStandIn(boost::asio::io_context &InIo)
     : Io(InIo), Server(Io, {"127.0.0.1", 0}, http::ServerOptions(),
-                       [this](const http::Request &R, const Answer &A) {
-                         onCall(R, A);
+                       [this](const http::Request &Request,
+                              const ResponderPtr &Responder) {
+                         onRequest(Request, Responder);
                        }) {}
 
 void StoreStandIn::put(const std::string &Kind, const std::string &Name,
@@ -33,7 +35,7 @@
                  {"spec", std::move(Spec)},
                  {"status", nullptr}};
   Objects[Kind][Name] = Object;
-  announce(Kind, Object, false);
+  notifyWatches(Kind, Object, false);
 }
 
 void StoreStandIn::erase(const std::string &Kind, const std::string &Name) {
@@ -43,108 +45,116 @@
   Json Object = It->second;
   Object["metadata"]["revision"] = ++Revision;
   Objects[Kind].erase(It);
-  announce(Kind, Object, true);
+  notifyWatches(Kind, Object, true);
 }
 
 void StoreStandIn::dropHistory() {
   HistoryFrom = Revision + 1;
-  Log.clear();
+  Changes.clear();
 }
 
-void StoreStandIn::announce(const std::string &Kind, const Json &Object,
-                            bool Gone) {
-  Log.push_back({Revision, Kind, {{"object", Object}, {"tombstone", Gone}}});
-  std::list<Waiting> Answered;
+void StoreStandIn::notifyWatches(const std::string &Kind, const Json &Object,
+                                 bool Removed) {
+  Changes.push_back(
+      {Revision, Kind, {{"object", Object}, {"tombstone", Removed}}});
+  std::list<PendingWatch> Answered;
   for (auto It = Watches.begin(); It != Watches.end();) {
     const auto Next = std::next(It);
     if (It->Kind == Kind)
       Answered.splice(Answered.end(), Watches, It);
     It = Next;
   }
-  for (const Waiting &W : Answered)
-    answerWatch(W);
+  for (const PendingWatch &Pending : Answered)
+    answerWatch(Pending);
 }
 
-void StoreStandIn::answerWatch(const Waiting &W) {
-  if (W.Since < HistoryFrom)
-    return W.To->whole(410, jsonType(), "{}");
+void StoreStandIn::answerWatch(const PendingWatch &Pending) {
+  if (Pending.Since < HistoryFrom)
+    return Pending.To->whole(410, jsonType(), "{}");
   Json Events = Json::array();
-  for (const Change &C : Log)
-    if (C.Revision > W.Since && C.Kind == W.Kind)
+  for (const Change &C : Changes)
+    if (C.Revision > Pending.Since && C.Kind == Pending.Kind)
       Events.push_back(C.Event);
-  W.To->whole(200, jsonType(),
-              Json{{"events", Events}, {"store_revision", Revision}}.dump());
+  Pending.To->whole(
+      200, jsonType(),
+      Json{{"events", Events}, {"store_revision", Revision}}.dump());
 }
 
-bool StoreStandIn::hasNews(const Waiting &W) const {
-  return W.Since < HistoryFrom ||
-         std::any_of(Log.begin(), Log.end(), [&](const Change &C) {
-           return C.Revision > W.Since && C.Kind == W.Kind;
+bool StoreStandIn::hasChanges(const PendingWatch &Pending) const {
+  return Pending.Since < HistoryFrom ||
+         std::any_of(Changes.begin(), Changes.end(), [&](const Change &C) {
+           return C.Revision > Pending.Since && C.Kind == Pending.Kind;
          });
 }
 
-void StoreStandIn::onCall(const http::Request &R, const Answer &A) {
-  if (!R.path().starts_with(Prefix))
-    return A->whole(404, {}, "");
-  if (!answerFaulty(R, A))
-    serve(R, A);
+void StoreStandIn::onRequest(const http::Request &Request,
+                             const ResponderPtr &Responder) {
+  if (!Request.path().starts_with(Prefix))
+    return Responder->whole(404, {}, "");
+  if (!answerWithFault(Request, Responder))
+    serve(Request, Responder);
 }
 
-bool StoreStandIn::answerFaulty(const http::Request &R, const Answer &A) {
+bool StoreStandIn::answerWithFault(const http::Request &Request,
+                                   const ResponderPtr &Responder) {
   switch (Fault) {
   case StoreFault::None:
     return false;
   case StoreFault::Unavailable:
-    A->whole(503, {}, "");
+    Responder->whole(503, {}, "");
     return true;
   case StoreFault::Throttled:
-    A->whole(429, {{"Retry-After", "1"}}, "");
+    Responder->whole(429, {{"Retry-After", "1"}}, "");
     return true;
   case StoreFault::Silent:
-    Unanswered.push_back(A);
+    Unanswered.push_back(Responder);
     return true;
   case StoreFault::Slow:
-    later(SlowAnswer, [this, R, A] { serve(R, A); });
+    runAfter(SlowAnswer,
+             [this, Request, Responder] { serve(Request, Responder); });
     return true;
   case StoreFault::Garbage:
-    A->whole(200, jsonType(), "{\"items\": 7, \"events\": [[");
+    Responder->whole(200, jsonType(), "{\"items\": 7, \"events\": [[");
     return true;
   case StoreFault::Torn:
-    A->begin(200, jsonType());
-    A->data(std::string("{\"items\": []}").substr(0, TornBytes));
-    A->abort();
+    Responder->begin(200, jsonType());
+    Responder->data(std::string("{\"items\": []}").substr(0, TruncatedBytes));
+    Responder->abort();
     return true;
   }
   return false;
 }
 
-void StoreStandIn::serve(const http::Request &R, const Answer &A) {
-  const std::string Kind(R.path().substr(Prefix.size()));
-  if (R.query("watch").empty())
-    return list(Kind, A);
-  watch({Kind, numberOf(R.query("watch")), A},
-        std::chrono::milliseconds(numberOf(R.query("wait_ms"))));
+void StoreStandIn::serve(const http::Request &Request,
+                         const ResponderPtr &Responder) {
+  const std::string Kind(Request.path().substr(Prefix.size()));
+  if (Request.query("watch").empty())
+    return list(Kind, Responder);
+  watch({Kind, parseNumber(Request.query("watch")), Responder},
+        std::chrono::milliseconds(parseNumber(Request.query("wait_ms"))));
 }
 
-void StoreStandIn::list(const std::string &Kind, const Answer &A) const {
+void StoreStandIn::list(const std::string &Kind,
+                        const ResponderPtr &Responder) const {
   Json Items = Json::array();
   if (const auto It = Objects.find(Kind); It != Objects.end())
     for (const auto &[Name, Object] : It->second)
       Items.push_back(Object);
-  A->whole(
+  Responder->whole(
       200, jsonType(),
       Json{{"items", Items}, {"truncated", false}, {"store_revision", Revision}}
           .dump());
 }
 
-void StoreStandIn::watch(Waiting W, std::chrono::milliseconds Longest) {
-  if (hasNews(W))
-    return answerWatch(W);
-  Watches.push_back(W);
-  later(Longest, [this, To = W.To] {
+void StoreStandIn::watch(PendingWatch Pending,
+                         std::chrono::milliseconds MaxWait) {
+  if (hasChanges(Pending))
+    return answerWatch(Pending);
+  Watches.push_back(Pending);
+  runAfter(MaxWait, [this, To = Pending.To] {
     const auto It =
         std::find_if(Watches.begin(), Watches.end(),
-                     [&](const Waiting &Other) { return Other.To == To; });
+                     [&](const PendingWatch &Other) { return Other.To == To; });
     if (It == Watches.end())
       return;
     Watches.erase(It);
@@ -154,9 +164,9 @@
   });
 }
 
-void StoreStandIn::later(std::chrono::milliseconds D,
-                         std::function<void()> Do) {
-  runLater(Io, D, std::move(Do));
+void StoreStandIn::runAfter(std::chrono::milliseconds Delay,
+                            std::function<void()> Callback) {
+  runLater(Io, Delay, std::move(Callback));
 }
 
 } // namespace goldcrestlink::testing
--- a/testing/store_standin.h
+++ b/testing/store_standin.h
@@ -1,5 +1,5 @@
-// A stand-in of the platform's store: objects by kind, a log of changes, lists
-// and watches, and the ways in which a store misbehaves.
+// A stand-in for the platform's store. It serves lists and watches of objects
+// by kind, keeps a log of changes, and can be set to answer faultily.
 //
 //   StoreStandIn Store(Io);
 //   Store.put("config", "main", Spec);
@@ -19,68 +19,81 @@
 
 namespace goldcrestlink::testing {
 
-/// How calls to the store are answered: as they should be, with 503, with 429,
-/// never, after SlowAnswer, with bytes that are no JSON, or with the connection
-/// cut in the midst of the answer.
+/// How the store answers requests.
 enum class StoreFault {
+  /// Correctly.
   None,
+  /// With status 503.
   Unavailable,
+  /// With status 429.
   Throttled,
+  /// Never; the connection stays open.
   Silent,
+  /// Correctly, after SlowAnswer.
   Slow,
+  /// With a body that is not valid JSON.
   Garbage,
+  /// With a part of the body, after which the connection is closed.
   Torn
 };
 
-/// Not thread-safe: all on the thread of its io_context.
+/// Not thread-safe: to be used on the thread that runs its io_context.
 class StoreStandIn {
 public:
   explicit StoreStandIn(boost::asio::io_context &Io);
 
   uint16_t port() const { return Server.port(); }
+  /// Creates or replaces an object and notifies the watches of its kind.
   void put(const std::string &Kind, const std::string &Name,
            nlohmann::json Spec);
-  /// Nothing happens if there is no such object.
+  /// Removes an object and notifies the watches of its kind. Does nothing if
+  /// the object does not exist.
   void erase(const std::string &Kind, const std::string &Name);
-  /// Watches that wait hear nothing of it; later ones are told to list again.
+  /// Drops the log of changes. Open watches are not notified; later ones from a
+  /// dropped revision are answered with 410, which requires a new list.
   void dropHistory();
   void setFault(StoreFault F) { Fault = F; }
 
   static constexpr auto SlowAnswer = std::chrono::milliseconds(1500);
 
 private:
-  using Answer = std::shared_ptr<http::Responder>;
+  using ResponderPtr = std::shared_ptr<http::Responder>;
   struct Change {
     uint64_t Revision;
     std::string Kind;
     nlohmann::json Event;
   };
-  struct Waiting {
+  /// A watch that has not been answered yet.
+  struct PendingWatch {
     std::string Kind;
     uint64_t Since;
-    Answer To;
+    ResponderPtr To;
   };
 
-  void announce(const std::string &Kind, const nlohmann::json &Object,
-                bool Gone);
-  void answerWatch(const Waiting &W);
-  bool hasNews(const Waiting &W) const;
-  void onCall(const http::Request &R, const Answer &A);
-  bool answerFaulty(const http::Request &R, const Answer &A);
-  void serve(const http::Request &R, const Answer &A);
-  void list(const std::string &Kind, const Answer &A) const;
-  void watch(Waiting W, std::chrono::milliseconds Longest);
-  void later(std::chrono::milliseconds D, std::function<void()> Do);
+  void notifyWatches(const std::string &Kind, const nlohmann::json &Object,
+                     bool Removed);
+  void answerWatch(const PendingWatch &Pending);
+  bool hasChanges(const PendingWatch &Pending) const;
+  void onRequest(const http::Request &Request, const ResponderPtr &Responder);
+  bool answerWithFault(const http::Request &Request,
+                       const ResponderPtr &Responder);
+  void serve(const http::Request &Request, const ResponderPtr &Responder);
+  void list(const std::string &Kind, const ResponderPtr &Responder) const;
+  void watch(PendingWatch Pending, std::chrono::milliseconds MaxWait);
+  void runAfter(std::chrono::milliseconds Delay,
+                std::function<void()> Callback);
 
   boost::asio::io_context &Io;
   uint64_t Revision = 1;
+  /// Watches from earlier revisions are answered with 410.
   uint64_t HistoryFrom = 0;
   StoreFault Fault = StoreFault::None;
   std::map<std::string, std::map<std::string, nlohmann::json>> Objects;
-  std::vector<Change> Log;
-  std::list<Waiting> Watches;
-  /// Kept, since an answer that is dropped closes its connection.
-  std::vector<Answer> Unanswered;
+  std::vector<Change> Changes;
+  std::list<PendingWatch> Watches;
+  /// Held open for StoreFault::Silent: destroying a responder closes its
+  /// connection.
+  std::vector<ResponderPtr> Unanswered;
   http::Server Server;
 };
 
--- a/testing/upstream_standin.cc
+++ b/testing/upstream_standin.cc
@@ -1,6 +1,6 @@
-// An engine loads an adapter by a timer and sends the events of a stream one by
-// one. Timers carry the incarnation that set them, so that nothing of one life
-// is done in the next.
+// Timers complete adapter loads and send the events of a stream one at a time.
+// A timer carries the incarnation that set it and does nothing in a later one,
+// so a load or run from before a crash has no effect after it.
 #include "testing/upstream_standin.h"
 
 #include <algorithm>
@@ -13,206 +13,221 @@
 
 namespace {
 
-constexpr size_t MaxInTransit = 4;
-constexpr auto LoadTime = std::chrono::milliseconds(30);
-constexpr auto EventPause = std::chrono::milliseconds(10);
+constexpr size_t MaxConcurrentLoads = 4;
+constexpr auto LoadDuration = std::chrono::milliseconds(30);
+constexpr auto EventInterval = std::chrono::milliseconds(10);
 constexpr uint64_t DefaultEvents = 5;
 
-// A body "... events=40" asks for a stream of that many events.
-uint64_t eventsAskedFor(std::string_view Body) {
+// The number of events that a body such as "... events=40" requests.
+uint64_t requestedEvents(std::string_view Body) {
   constexpr std::string_view Key = "events=";
   const size_t At = Body.find(Key);
-  return At == std::string_view::npos ? DefaultEvents
-                                      : numberOf(Body.substr(At + Key.size()));
+  return At == std::string_view::npos
+             ? DefaultEvents
+             : parseNumber(Body.substr(At + Key.size()));
 }
 
-std::string adapterOf(const http::Request &R) {
-  const std::string_view Named = R.header("Model");
-  return std::string(Named.substr(std::min(Named.size(), Named.find('/') + 1)));
+std::string adapterOf(const http::Request &Request) {
+  const std::string_view ModelField = Request.header("Model");
+  return std::string(
+      ModelField.substr(std::min(ModelField.size(), ModelField.find('/') + 1)));
 }
 
 } // namespace
 
 UpstreamStandIn::UpstreamStandIn(boost::asio::io_context &InIo, Spec InSpec,
                                  UpstreamsShared &InShared)
-    : Io(InIo), S(std::move(InSpec)), Shared(InShared) {}
+    : Io(InIo), Description(std::move(InSpec)), Shared(InShared) {}
 
 UpstreamStandIn::~UpstreamStandIn() = default;
 
 void UpstreamStandIn::start(const std::string &Id) {
-  S.Id = Id;
+  Description.Id = Id;
   Fault = UpstreamFault::None;
   Server = std::make_unique<http::Server>(
-      Io, S.Listen, http::ServerOptions(),
-      [this](const http::Request &R, const Answer &A) { onRequest(R, A); });
+      Io, Description.Listen, http::ServerOptions(),
+      [this](const http::Request &Request, const ResponderPtr &Responder) {
+        onRequest(Request, Responder);
+      });
 }
 
 void UpstreamStandIn::crash() {
   Server.reset();
-  for (const auto &Weak : Answering)
-    if (const Answer A = Weak.lock())
-      A->abort();
-  Answering.clear();
+  for (const auto &Weak : OpenResponders)
+    if (const ResponderPtr Responder = Weak.lock())
+      Responder->abort();
+  OpenResponders.clear();
   Unanswered.clear();
-  forget();
+  resetState();
 }
 
-void UpstreamStandIn::forget() {
-  ++Born;
-  HasBase = false;
+void UpstreamStandIn::resetState() {
+  ++Incarnation;
+  HasBaseModel = false;
   OrderCount = 0;
   Held.clear();
-  Coming.clear();
+  Loading.clear();
   InUse.clear();
   Unloading.clear();
 }
 
-void UpstreamStandIn::onRequest(const http::Request &R, const Answer &A) {
-  std::erase_if(Answering, [](const auto &Weak) { return Weak.expired(); });
-  Answering.push_back(A);
-  if (R.path() == "/health")
-    return A->whole(200, {{"Instance-Id", S.Id}}, "");
-  if (R.path() == "/-/report")
+void UpstreamStandIn::onRequest(const http::Request &Request,
+                                const ResponderPtr &Responder) {
+  std::erase_if(OpenResponders,
+                [](const auto &Weak) { return Weak.expired(); });
+  OpenResponders.push_back(Responder);
+  if (Request.path() == "/health")
+    return Responder->whole(200, {{"Instance-Id", Description.Id}}, "");
+  if (Request.path() == "/-/report")
     return Fault == UpstreamFault::Silent
-               ? Unanswered.push_back(A)
-               : A->whole(200, jsonType(), report().dump());
-  if (R.header("Expect-Instance") != S.Id) {
-    rejected(R);
-    return A->whole(421, {{"Instance-Id", S.Id}}, "");
+               ? Unanswered.push_back(Responder)
+               : Responder->whole(200, jsonType(), report().dump());
+  if (Request.header("Expect-Instance") != Description.Id) {
+    reportRejection(Request);
+    return Responder->whole(421, {{"Instance-Id", Description.Id}}, "");
   }
-  if (R.path() == "/-/order")
-    return onOrder(R, A);
-  onCallerRequest(R, A);
+  if (Request.path() == "/-/order")
+    return onOrder(Request, Responder);
+  onCallerRequest(Request, Responder);
 }
 
-void UpstreamStandIn::onCallerRequest(const http::Request &R, const Answer &A) {
-  S.IsEngine ? onGeneration(R, A) : onPlain(R, A);
+void UpstreamStandIn::onCallerRequest(const http::Request &Request,
+                                      const ResponderPtr &Responder) {
+  Description.IsEngine ? onGeneration(Request, Responder)
+                       : onPlain(Request, Responder);
 }
 
-http::Headers UpstreamStandIn::signedFields(const http::Request &R) const {
-  http::Headers Out = {{"Request-Id", std::string(R.header("Request-Id"))}};
+http::Headers
+UpstreamStandIn::signedFields(const http::Request &Request) const {
+  http::Headers Out = {
+      {"Request-Id", std::string(Request.header("Request-Id"))}};
   if (Fault != UpstreamFault::Unsigned)
-    Out.push_back({"Response-Seal", "seal-" + S.Id});
+    Out.push_back({"Response-Seal", "seal-" + Description.Id});
   return Out;
 }
 
-void UpstreamStandIn::onPlain(const http::Request &R, const Answer &A) {
-  const std::string Id(R.header("Request-Id"));
-  seen(R, "", 0);
-  runLater(Io, EventPause, [=, this, Life = Born, Body = R.Body] {
-    if (Born != Life)
-      return;
-    ended(Id, RunEnd::Whole);
-    if (Fault == UpstreamFault::Silent)
-      return Unanswered.push_back(A);
-    if (Fault != UpstreamFault::Torn)
-      return A->whole(Fault == UpstreamFault::Failing ? 500 : 200,
-                      signedFields(R), "done " + Body);
-    A->begin(200, signedFields(R));
-    A->data("done ");
-    A->abort();
-  });
+void UpstreamStandIn::onPlain(const http::Request &Request,
+                              const ResponderPtr &Responder) {
+  const std::string Id(Request.header("Request-Id"));
+  reportRun(Request, "", 0);
+  runLater(Io, EventInterval,
+           [=, this, StartedIn = Incarnation, Body = Request.Body] {
+             if (Incarnation != StartedIn)
+               return;
+             reportRunEnd(Id, RunEnd::Whole);
+             if (Fault == UpstreamFault::Silent)
+               return Unanswered.push_back(Responder);
+             if (Fault != UpstreamFault::Torn)
+               return Responder->whole(Fault == UpstreamFault::Failing ? 500
+                                                                       : 200,
+                                       signedFields(Request), "done " + Body);
+             Responder->begin(200, signedFields(Request));
+             Responder->data("done ");
+             Responder->abort();
+           });
 }
 
-void UpstreamStandIn::onGeneration(const http::Request &R, const Answer &A) {
-  const std::string Adapter = adapterOf(R);
+void UpstreamStandIn::onGeneration(const http::Request &Request,
+                                   const ResponderPtr &Responder) {
+  const std::string Adapter = adapterOf(Request);
   const auto It = Held.find(Adapter);
-  const std::string_view Wanted = R.header("Expect-Version");
-  if (!HasBase || It == Held.end() || Adapter == Unloading ||
-      (!Wanted.empty() &&
-       numberOf(Wanted) != static_cast<uint64_t>(It->second))) {
-    rejected(R);
-    return A->whole(421, {}, "");
+  const std::string_view ExpectedVersion = Request.header("Expect-Version");
+  if (!HasBaseModel || It == Held.end() || Adapter == Unloading ||
+      (!ExpectedVersion.empty() &&
+       parseNumber(ExpectedVersion) != static_cast<uint64_t>(It->second))) {
+    reportRejection(Request);
+    return Responder->whole(421, {}, "");
   }
   const int Version = It->second;
-  seen(R, Adapter, Version);
+  reportRun(Request, Adapter, Version);
   if (Fault == UpstreamFault::Silent)
-    return Unanswered.push_back(A);
+    return Unanswered.push_back(Responder);
   if (Fault == UpstreamFault::Failing) {
-    ended(std::string(R.header("Request-Id")), RunEnd::Whole);
-    return A->whole(500, signedFields(R), "");
+    reportRunEnd(std::string(Request.header("Request-Id")), RunEnd::Whole);
+    return Responder->whole(500, signedFields(Request), "");
   }
-  http::Headers Fields = signedFields(R);
+  http::Headers Fields = signedFields(Request);
   Fields.push_back({"Content-Type", "text/event-stream"});
   Fields.push_back({"Weight-Versions", std::to_string(Version)});
-  auto New = std::make_shared<Stream>();
-  New->RequestId = std::string(R.header("Request-Id"));
-  New->Adapter = Adapter;
-  New->To = A;
-  New->Last = eventsAskedFor(R.Body);
+  auto Opened = std::make_shared<Stream>();
+  Opened->RequestId = std::string(Request.header("Request-Id"));
+  Opened->Adapter = Adapter;
+  Opened->To = Responder;
+  Opened->Last = requestedEvents(Request.Body);
   InUse.insert(Adapter);
-  A->onGone([this, New, Life = Born] {
-    if (Born == Life)
-      endStream(*New, RunEnd::CallerGone);
+  Responder->onGone([this, Opened, StartedIn = Incarnation] {
+    if (Incarnation == StartedIn)
+      endStream(*Opened, RunEnd::CallerGone);
   });
-  A->begin(200, Fields);
-  streamNext(New, numberOf(R.header("Last-Event-Id")) + 1);
+  Responder->begin(200, Fields);
+  streamNext(Opened, parseNumber(Request.header("Last-Event-Id")) + 1);
 }
 
-void UpstreamStandIn::streamNext(const std::shared_ptr<Stream> &Of,
+void UpstreamStandIn::streamNext(const std::shared_ptr<Stream> &Open,
                                  uint64_t Next) {
-  if (Of->Ended)
+  if (Open->Ended)
     return;
-  if (Next > Of->Last) {
-    endStream(*Of, RunEnd::Whole);
-    return Of->To->end();
+  if (Next > Open->Last) {
+    endStream(*Open, RunEnd::Whole);
+    return Open->To->end();
   }
-  if (Fault == UpstreamFault::Torn && Next > Of->Last / 2) {
-    endStream(*Of, RunEnd::Crashed);
-    return Of->To->abort();
+  if (Fault == UpstreamFault::Torn && Next > Open->Last / 2) {
+    endStream(*Open, RunEnd::Crashed);
+    return Open->To->abort();
   }
-  Of->To->data("id: " + std::to_string(Next) + "\ndata: " + Of->RequestId +
-               "\n\n");
-  runLater(Io, EventPause, [this, Of, Next, Life = Born] {
-    if (Born == Life)
-      streamNext(Of, Next + 1);
+  Open->To->data("id: " + std::to_string(Next) + "\ndata: " + Open->RequestId +
+                 "\n\n");
+  runLater(Io, EventInterval, [this, Open, Next, StartedIn = Incarnation] {
+    if (Incarnation == StartedIn)
+      streamNext(Open, Next + 1);
   });
 }
 
-void UpstreamStandIn::endStream(Stream &Of, RunEnd How) {
-  if (Of.Ended)
+void UpstreamStandIn::endStream(Stream &Open, RunEnd How) {
+  if (Open.Ended)
     return;
-  Of.Ended = true;
-  if (const auto It = InUse.find(Of.Adapter); It != InUse.end())
+  Open.Ended = true;
+  if (const auto It = InUse.find(Open.Adapter); It != InUse.end())
     InUse.erase(It);
-  if (Unloading == Of.Adapter && !InUse.contains(Unloading)) {
+  if (Unloading == Open.Adapter && !InUse.contains(Unloading)) {
     Held.erase(Unloading);
     Unloading.clear();
   }
-  ended(Of.RequestId, How);
+  reportRunEnd(Open.RequestId, How);
 }
 
-void UpstreamStandIn::onOrder(const http::Request &R, const Answer &A) {
+void UpstreamStandIn::onOrder(const http::Request &Request,
+                              const ResponderPtr &Responder) {
   ++Tally.Orders;
-  const Json Order = Json::parse(R.Body, nullptr, false);
+  const Json Order = Json::parse(Request.Body, nullptr, false);
   if (Order.is_discarded() || !Order.contains("holder") ||
       !Order.contains("fence_token") || !Order.contains("expect")) {
-    violation("order without holder, fencing number or expected count");
-    return A->whole(400, {}, "");
+    reportViolation("order without holder, fencing number or expected count");
+    return Responder->whole(400, {}, "");
   }
   if (!Unloading.empty() || Order["expect"].get<uint64_t>() != OrderCount)
-    return A->whole(409, {}, "");
+    return Responder->whole(409, {}, "");
   ++OrderCount;
-  const bool Load = Order.value("operation", "") == "model_load";
+  const bool IsLoad = Order.value("operation", "") == "model_load";
   const std::string Adapter = Order.value("adapter", "");
   if (Adapter.empty())
-    HasBase = Load;
+    HasBaseModel = IsLoad;
   else
-    Load ? load(Adapter) : unload(Adapter);
-  A->whole(Load ? 202 : 200, {}, "");
+    IsLoad ? load(Adapter) : unload(Adapter);
+  Responder->whole(IsLoad ? 202 : 200, {}, "");
 }
 
 void UpstreamStandIn::load(const std::string &Adapter) {
-  Coming.insert(Adapter);
-  if (Held.size() + Coming.size() > AdapterSlots)
-    violation("adapter load beyond the slots: " + Adapter);
-  if (Coming.size() > MaxInTransit)
-    violation("too many adapters in transit");
-  runLater(Io, LoadTime, [this, Adapter, Life = Born] {
-    if (Born != Life)
+  Loading.insert(Adapter);
+  if (Held.size() + Loading.size() > AdapterSlots)
+    reportViolation("adapter load exceeds the adapter slots: " + Adapter);
+  if (Loading.size() > MaxConcurrentLoads)
+    reportViolation("too many concurrent adapter loads");
+  runLater(Io, LoadDuration, [this, Adapter, StartedIn = Incarnation] {
+    if (Incarnation != StartedIn)
       return;
-    Coming.erase(Adapter);
-    Held[Adapter] = newest(Adapter);
+    Loading.erase(Adapter);
+    Held[Adapter] = newestVersion(Adapter);
   });
 }
 
@@ -225,51 +240,52 @@
   Unloading = Adapter;
 }
 
-void UpstreamStandIn::rejected(const http::Request &R) {
+void UpstreamStandIn::reportRejection(const http::Request &Request) {
   ++Tally.Misdirected;
-  const std::string_view Id = R.header("Request-Id");
+  const std::string_view Id = Request.header("Request-Id");
   if (!Shared.Observer || Id.empty())
     return;
   RunSeen Out;
   Out.At = presentTime().Steady;
   Out.Executed = false;
   Out.RequestId = std::string(Id);
-  Out.Upstream = S.Id;
+  Out.Upstream = Description.Id;
   Shared.Observer->onRun(Out);
 }
 
-void UpstreamStandIn::seen(const http::Request &R, const std::string &Adapter,
-                           int Version) {
-  Tally.Ran.emplace_back(R.header("Request-Id"));
+void UpstreamStandIn::reportRun(const http::Request &Request,
+                                const std::string &Adapter, int Version) {
+  Tally.Ran.emplace_back(Request.header("Request-Id"));
   if (!Shared.Observer)
     return;
   RunSeen Out;
   Out.At = presentTime().Steady;
-  Out.RequestId = std::string(R.header("Request-Id"));
-  Out.Upstream = S.Id;
-  Out.Target = R.Target;
-  Out.Body = R.Body;
+  Out.RequestId = std::string(Request.header("Request-Id"));
+  Out.Upstream = Description.Id;
+  Out.Target = Request.Target;
+  Out.Body = Request.Body;
   Out.Adapter = Adapter;
   if (const auto It = Shared.Releases.find(Adapter);
       It != Shared.Releases.end() && Version < It->second.Version)
     Out.Outdated = Out.At - It->second.Since;
-  if (leaving())
-    Out.Leaving = Out.At - LeavingSince;
+  if (draining())
+    Out.Leaving = Out.At - DrainingSince;
   Shared.Observer->onRun(Out);
 }
 
-void UpstreamStandIn::ended(const std::string &RequestId, RunEnd How) {
+void UpstreamStandIn::reportRunEnd(const std::string &RequestId, RunEnd How) {
   if (Shared.Observer)
-    Shared.Observer->onRunEnd(presentTime().Steady, RequestId, S.Id, How);
+    Shared.Observer->onRunEnd(presentTime().Steady, RequestId, Description.Id,
+                              How);
 }
 
-void UpstreamStandIn::violation(const std::string &What) {
+void UpstreamStandIn::reportViolation(const std::string &What) {
   ++Tally.Violations;
   if (Shared.Observer)
-    Shared.Observer->onViolation(S.Id, What);
+    Shared.Observer->onViolation(Description.Id, What);
 }
 
-int UpstreamStandIn::newest(const std::string &Adapter) const {
+int UpstreamStandIn::newestVersion(const std::string &Adapter) const {
   const auto It = Shared.Releases.find(Adapter);
   return It == Shared.Releases.end() ? 1 : It->second.Version;
 }
@@ -278,17 +294,18 @@
   Json Adapters = Json::array();
   for (const auto &[Name, Version] : Held)
     Adapters.push_back(Name + "@" + std::to_string(Version));
-  Json Arriving = Json::array();
-  for (const std::string &Name : Coming)
-    Arriving.push_back("m/" + Name + "@" + std::to_string(newest(Name)));
+  Json LoadingNames = Json::array();
+  for (const std::string &Name : Loading)
+    LoadingNames.push_back("m/" + Name + "@" +
+                           std::to_string(newestVersion(Name)));
   Json Models = Json::array();
-  if (HasBase)
+  if (HasBaseModel)
     Models.push_back({{"name", "m"}, {"version", 1}, {"adapters", Adapters}});
   return {{"stage", "both"},         {"models", Models},
-          {"coming", Arriving},      {"busy", false},
+          {"coming", LoadingNames},  {"busy", false},
           {"seq", OrderCount},       {"waiting", 0},
           {"running", InUse.size()}, {"kv_used", 0},
-          {"kv_total", 100000},      {"born", Born}};
+          {"kv_total", 100000},      {"born", Incarnation}};
 }
 
 } // namespace goldcrestlink::testing
--- a/testing/upstream_standin.h
+++ b/testing/upstream_standin.h
@@ -1,10 +1,10 @@
-// Stand-ins of the platform's upstreams: engines that hold adapters, give
-// reports, take orders and stream events, and plain services. They crash, start
-// again, fall silent and answer nonsense when told to.
+// Stand-ins for the platform's upstreams: engines, which hold adapters, serve
+// reports, execute orders and stream events, and plain services. A test can
+// make them crash, restart, stop answering or answer faultily.
 //
-//   UpstreamStandIn E(Io, Spec, Shared);
-//   E.start();
-//   E.crash();   // its connections close; what it ran is lost
+//   UpstreamStandIn Engine(Io, Spec, Shared);
+//   Engine.start("e0");
+//   Engine.crash();   // closes its connections; its runs are lost
 #ifndef GOLDCRESTLINK_TESTING_UPSTREAM_STANDIN_H
 #define GOLDCRESTLINK_TESTING_UPSTREAM_STANDIN_H
 
@@ -21,21 +21,22 @@
 
 namespace goldcrestlink::testing {
 
-/// What one upstream has seen.
+/// What one upstream has received and executed.
 struct UpstreamTally {
-  /// Request ids that it ran, in order.
+  /// Ids of the requests that it executed, in order.
   std::vector<std::string> Ran;
-  /// Requests that named another instance, or an adapter it does not hold.
+  /// Rejected requests: they named another instance, or an adapter or version
+  /// that the upstream does not hold.
   int Misdirected = 0;
-  /// Orders over its adapter slots, or without what the platform demands of
-  /// them.
+  /// Orders that exceed the adapter slots or the concurrent loads, or that lack
+  /// a field which the platform requires.
   int Violations = 0;
-  /// Orders to unload an adapter in use, which wait for its runs.
+  /// Orders to unload an adapter in use. They take effect when its runs end.
   int UnloadsInUse = 0;
   int Orders = 0;
 };
 
-/// A request of a caller at the moment at which it reaches an upstream.
+/// A caller's request as it reaches an upstream.
 struct RunSeen {
   Time At{};
   /// False if the upstream rejects it without running it.
@@ -44,34 +45,39 @@
   std::string Upstream;
   std::string Target;
   std::string Body;
-  /// Of an engine: the adapter, and how long a newer version has been out.
+  /// For an engine: the adapter, and how long ago a newer version than the one
+  /// used was announced; zero if there is none.
   std::string Adapter;
   Duration Outdated{};
-  /// How long the upstream has been entered as draining or removed.
+  /// How long the store has shown the upstream as draining, or not at all; zero
+  /// if it shows the upstream as ready.
   Duration Leaving{};
 };
 
+/// How a run ended: answered in full, its caller disconnected, or cut off.
 enum class RunEnd { Whole, CallerGone, Crashed };
 
-/// Hears what upstreams do, on the stand-ins' thread.
+/// Notified of what upstreams do, on the thread of the stand-ins.
 class UpstreamObserver {
 public:
   virtual ~UpstreamObserver() = default;
+  /// A caller's request has reached an upstream, executed or rejected.
   virtual void onRun(const RunSeen &) = 0;
   virtual void onRunEnd(Time Now, const std::string &RequestId,
                         const std::string &Upstream, RunEnd) = 0;
-  /// An order or request that no correct side or entry sends.
+  /// An upstream received an order that no correct side sends.
   virtual void onViolation(const std::string &Upstream,
                            const std::string &What) = 0;
 };
 
-/// How requests of callers are answered: as they should be, never, with 500,
-/// without the signature of an answer that was run, or in part.
+/// How an upstream answers requests of callers: correctly, never, with 500,
+/// without the signature that marks an executed request, or with a part of the
+/// answer after which the connection is closed.
 enum class UpstreamFault { None, Silent, Failing, Unsigned, Torn };
 
-/// What all upstreams of a deployment share. Not thread-safe.
+/// State that all upstreams of a deployment share. Not thread-safe.
 struct UpstreamsShared {
-  /// The newest version of each adapter and since when it is announced.
+  /// The newest version of an adapter, and when it was announced.
   struct Release {
     int Version = 1;
     Time Since{};
@@ -80,86 +86,100 @@
   UpstreamObserver *Observer = nullptr;
 };
 
-/// Not thread-safe: all on the thread of its io_context.
+/// Not thread-safe: to be used on the thread that runs its io_context.
 class UpstreamStandIn {
 public:
-  /// Adapters that an engine holds and loads at once.
+  /// Number of adapters that an engine can hold, including those it is loading.
   static constexpr size_t AdapterSlots = 2;
 
   struct Spec {
     std::string Id;
     std::string Service;
     http::Endpoint Listen;
-    /// Where the store says that it is.
+    /// The address in the store.
     http::Endpoint Published;
     bool IsEngine = false;
   };
 
-  UpstreamStandIn(boost::asio::io_context &Io, Spec S, UpstreamsShared &Shared);
+  UpstreamStandIn(boost::asio::io_context &Io, Spec Description,
+                  UpstreamsShared &Shared);
   ~UpstreamStandIn();
 
-  /// Starts it, or starts it again under \p Id, knowing nothing of before.
-  /// Precondition: it does not run.
+  /// Starts or restarts the upstream under \p Id, without a fault.
+  /// Precondition: the upstream is not running.
   void start(const std::string &Id);
-  /// All its connections close at once.
+  /// Closes all connections, drops all runs and resets the state.
   void crash();
-  /// An engine forgets what it holds; its connections stay.
-  void forget();
+  /// Resets an engine to holding no model or adapter, as a restart of its
+  /// process would; its connections stay open.
+  void resetState();
   bool running() const { return Server != nullptr; }
   void setFault(UpstreamFault F) { Fault = F; }
-  /// Since when its entry says that it leaves; Time{} if it does not.
-  void setLeaving(Time Since) { LeavingSince = Since; }
-  bool leaving() const { return LeavingSince != Time{}; }
+  /// Sets when the store began to show the upstream as draining or removed;
+  /// Time{} if it shows the upstream as ready.
+  void setDraining(Time Since) { DrainingSince = Since; }
+  bool draining() const { return DrainingSince != Time{}; }
 
-  const Spec &spec() const { return S; }
+  const Spec &spec() const { return Description; }
   const UpstreamTally &tally() const { return Tally; }
   const std::map<std::string, int> &held() const { return Held; }
   uint64_t orderCount() const { return OrderCount; }
 
 private:
-  using Answer = std::shared_ptr<http::Responder>;
+  using ResponderPtr = std::shared_ptr<http::Responder>;
+  /// An answer in progress, sent event by event.
   struct Stream {
     std::string RequestId;
     std::string Adapter;
-    Answer To;
+    ResponderPtr To;
+    /// The number of the last event.
     uint64_t Last = 0;
     bool Ended = false;
   };
 
-  void onRequest(const http::Request &R, const Answer &A);
-  void onCallerRequest(const http::Request &R, const Answer &A);
-  void onPlain(const http::Request &R, const Answer &A);
-  void onGeneration(const http::Request &R, const Answer &A);
-  void onOrder(const http::Request &R, const Answer &A);
+  void onRequest(const http::Request &Request, const ResponderPtr &Responder);
+  void onCallerRequest(const http::Request &Request,
+                       const ResponderPtr &Responder);
+  void onPlain(const http::Request &Request, const ResponderPtr &Responder);
+  void onGeneration(const http::Request &Request,
+                    const ResponderPtr &Responder);
+  void onOrder(const http::Request &Request, const ResponderPtr &Responder);
   void load(const std::string &Adapter);
   void unload(const std::string &Adapter);
-  void streamNext(const std::shared_ptr<Stream> &S, uint64_t Next);
-  void endStream(Stream &S, RunEnd How);
-  void rejected(const http::Request &R);
-  void seen(const http::Request &R, const std::string &Adapter, int Version);
-  void ended(const std::string &RequestId, RunEnd How);
-  void violation(const std::string &What);
-  int newest(const std::string &Adapter) const;
-  http::Headers signedFields(const http::Request &R) const;
+  void streamNext(const std::shared_ptr<Stream> &Open, uint64_t Next);
+  void endStream(Stream &Open, RunEnd How);
+  void reportRejection(const http::Request &Request);
+  void reportRun(const http::Request &Request, const std::string &Adapter,
+                 int Version);
+  void reportRunEnd(const std::string &RequestId, RunEnd How);
+  void reportViolation(const std::string &What);
+  int newestVersion(const std::string &Adapter) const;
+  http::Headers signedFields(const http::Request &Request) const;
   nlohmann::json report() const;
 
   boost::asio::io_context &Io;
-  Spec S;
+  Spec Description;
   UpstreamsShared &Shared;
   std::unique_ptr<http::Server> Server;
-  std::vector<std::weak_ptr<http::Responder>> Answering;
-  /// Kept, since an answer that is dropped closes its connection.
-  std::vector<Answer> Unanswered;
+  std::vector<std::weak_ptr<http::Responder>> OpenResponders;
+  /// Held open for UpstreamFault::Silent: destroying a responder closes its
+  /// connection.
+  std::vector<ResponderPtr> Unanswered;
   UpstreamTally Tally;
   UpstreamFault Fault = UpstreamFault::None;
-  Time LeavingSince{};
-  bool HasBase = true;
-  uint64_t Born = 1;
+  Time DrainingSince{};
+  bool HasBaseModel = true;
+  /// Incremented by each reset of the state; "born" in reports.
+  uint64_t Incarnation = 1;
   uint64_t OrderCount = 0;
+  /// Loaded adapters and their versions.
   std::map<std::string, int> Held;
-  std::set<std::string> Coming;
+  /// Adapters that are being loaded.
+  std::set<std::string> Loading;
+  /// The adapter of each stream in progress.
   std::multiset<std::string> InUse;
-  /// To be dropped once its runs have ended; meanwhile orders are refused.
+  /// The adapter to unload once its runs have ended; until then orders are
+  /// refused. Empty if there is none.
   std::string Unloading;
 };
 
--- a/testing/world.cc
+++ b/testing/world.cc
@@ -1,7 +1,8 @@
-// A discrete-event simulation. Each node has its own wall clock, off by less
-// than the declared skew; all steady clocks run alike. A paused node handles
-// nothing until it resumes, but what it had already told its upstream goes on.
-// Work is bounded by the simulated time and the request rate.
+// A discrete-event simulation. Each node has its own wall clock, which is off
+// by less than the declared clock skew; all steady clocks run at the same rate.
+// A paused node handles no message or timer until it resumes, but its upstream
+// continues with calls and loads that were already sent to it. The cost is
+// bounded by the simulated time and the request rate.
 #include "testing/world.h"
 
 #include <algorithm>
@@ -13,12 +14,12 @@
 
 namespace {
 
-constexpr Duration Tick = std::chrono::milliseconds(5);
-constexpr Duration Skew = std::chrono::milliseconds(50);
-constexpr Duration Epoch = std::chrono::hours(1000);
+constexpr Duration TickInterval = std::chrono::milliseconds(5);
+constexpr Duration MaxClockOffset = std::chrono::milliseconds(50);
+constexpr Duration SteadyEpoch = std::chrono::hours(1000);
 constexpr Duration WallEpoch = std::chrono::hours(400000);
 constexpr Duration LongestDeadline = std::chrono::seconds(10);
-constexpr Duration FirstOrder = std::chrono::seconds(4);
+constexpr Duration FirstOrderTime = std::chrono::seconds(4);
 constexpr size_t EngineCount = 3;
 constexpr size_t ServiceCount = 3;
 constexpr size_t EntryCount = 2;
@@ -52,315 +53,334 @@
 
 } // namespace
 
-World::~World() = default;
+Simulation::~Simulation() = default;
 
-World::World(WorldOptions InOptions) : O(InOptions), Rand(InOptions.Seed) {
+Simulation::Simulation(SimulationOptions InOptions)
+    : Options(InOptions), Rand(InOptions.Seed) {
   FindingList Findings;
   Config = Declarations::parse({{"world.ini", declarationText()}}, 1, Findings);
   if (!Findings.empty())
     throw FindingError(Findings);
   for (const UpstreamDecl &U : Config->upstreams()) {
-    auto S = std::make_unique<SideNode>();
-    S->Upstream = U.Name;
-    S->Engine = U.Kind == UpstreamKind::Engine;
-    S->WallOffset = upTo(Skew);
-    Sides.push_back(std::move(S));
+    auto Side = std::make_unique<SideNode>();
+    Side->Upstream = U.Name;
+    Side->IsEngine = U.Kind == UpstreamKind::Engine;
+    Side->WallOffset = randomUpTo(MaxClockOffset);
+    Sides.push_back(std::move(Side));
   }
-  for (auto &S : Sides) {
-    bootSide(*S);
+  for (auto &Side : Sides) {
+    startSide(*Side);
   }
   for (size_t I = 0; I < EntryCount; ++I) {
-    auto E = std::make_unique<EntryNode>();
-    E->Index = I;
-    E->WallOffset = upTo(Skew);
-    E->Machine = std::make_unique<entry::EntryMachine>(O.Entry, Config, "dc",
-                                                       O.Seed * 100 + I + 1);
-    Entries.push_back(std::move(E));
+    auto Entry = std::make_unique<EntryNode>();
+    Entry->Index = I;
+    Entry->WallOffset = randomUpTo(MaxClockOffset);
+    Entry->Machine = std::make_unique<entry::EntryMachine>(
+        Options.Entry, Config, "dc", Options.Seed * 100 + I + 1);
+    Entries.push_back(std::move(Entry));
   }
 }
 
-// Starts a side's process, for the first time or again.
-void World::bootSide(SideNode &S) {
-  S.Machine = std::make_unique<side::SideMachine>(O.Side, Config, S.Upstream,
-                                                  ++Incarnations);
-  if (S.Engine)
+// Starts or restarts the process of a side, with empty state and a new
+// incarnation number.
+void Simulation::startSide(SideNode &Side) {
+  Side.Machine = std::make_unique<side::SideMachine>(
+      Options.Side, Config, Side.Upstream, ++LastIncarnation);
+  if (Side.IsEngine)
     return;
-  S.Lease = std::make_unique<ShardLease>(
+  Side.Lease = std::make_unique<ShardLease>(
       ShardLease::Options()
           .setLease(Config->policy().Lease)
           .setShards(static_cast<uint32_t>(Config->policy().ShardsPerService))
           .setDeclaredMembers(ServiceCount),
-      S.Upstream, Incarnations);
+      Side.Upstream, LastIncarnation);
 }
 
-Now World::now(Duration WallOffset) const {
-  return {Time(Epoch + Clock), WallTime(WallEpoch + Clock + WallOffset)};
+Now Simulation::now(Duration WallOffset) const {
+  return {Time(SteadyEpoch + Clock), WallTime(WallEpoch + Clock + WallOffset)};
 }
 
-bool World::chance(double Probability) { return Rand.unit() < Probability; }
+bool Simulation::chance(double Probability) {
+  return Rand.unit() < Probability;
+}
 
-Duration World::upTo(Duration Most) {
-  return Duration(static_cast<int64_t>(
-      Rand.below(static_cast<uint64_t>(Most.count()) + 1)));
+Duration Simulation::randomUpTo(Duration Max) {
+  return Duration(
+      static_cast<int64_t>(Rand.below(static_cast<uint64_t>(Max.count()) + 1)));
 }
 
-void World::violate(const std::string &What) {
-  Violations.push_back("seed " + std::to_string(O.Seed) + " at " +
+void Simulation::reportViolation(const std::string &What) {
+  Violations.push_back("seed " + std::to_string(Options.Seed) + " at " +
                        std::to_string(Clock.count() / 1000) + " ms: " + What);
 }
 
-void World::at(Duration Delay, std::function<void()> Do) {
+void Simulation::schedule(Duration Delay, std::function<void()> Do) {
   Events.emplace(Clock + Delay, std::move(Do));
 }
 
-Duration World::networkDelay() {
+Duration Simulation::networkDelay() {
   Duration Delay(200 + static_cast<int64_t>(Rand.below(500)));
-  if ((O.Faults & Delays) && chance(0.02))
-    Delay += upTo(std::chrono::milliseconds(1500));
+  if ((Options.Faults & Delays) && chance(0.02))
+    Delay += randomUpTo(std::chrono::milliseconds(1500));
   return Delay;
 }
 
-bool World::lostBetweenSides() {
-  return (O.Faults & LostSideMessages) && chance(0.3);
+bool Simulation::lostBetweenSides() {
+  return (Options.Faults & LostSideMessages) && chance(0.3);
 }
 
-World::SideNode *World::sideOf(const std::string &Upstream) {
-  for (auto &S : Sides)
-    if (S->Upstream == Upstream)
-      return S.get();
+Simulation::SideNode *Simulation::sideOf(const std::string &Upstream) {
+  for (auto &Side : Sides)
+    if (Side->Upstream == Upstream)
+      return Side.get();
   return nullptr;
 }
 
-void World::toSide(EntryNode &E, const std::string &Upstream,
-                   const wire::Envelope &Message) {
-  SideNode *S = sideOf(Upstream);
-  auto &Slot = E.Channels[Upstream];
+void Simulation::sendToSide(EntryNode &Entry, const std::string &Upstream,
+                            const wire::Envelope &Message) {
+  SideNode *Side = sideOf(Upstream);
+  auto &Slot = Entry.Connections[Upstream];
   if (!Slot)
-    Slot = std::make_shared<Channel>();
+    Slot = std::make_shared<Connection>();
   const auto C = Slot;
-  const std::string Peer = std::to_string(E.Index) + "/" + Upstream + "/" +
+  const std::string Peer = std::to_string(Entry.Index) + "/" + Upstream + "/" +
                            std::to_string(C->Serial);
-  // ZeroMQ hands a message over at most once; duplicates come from resends,
-  // which the world makes freely.
-  const int Copies = (O.Faults & Duplicates) && chance(0.02) ? 2 : 1;
+  // ZeroMQ delivers a message at most once. Duplicates come from messages that
+  // the sender repeats, which the simulation does at random.
+  const int Copies = (Options.Faults & Duplicates) && chance(0.02) ? 2 : 1;
   for (int I = 0; I < Copies; ++I)
-    at(networkDelay(), [this, S, C, Peer, Message] {
+    schedule(networkDelay(), [this, Side, C, Peer, Message] {
       if (!C->Silent)
-        deliverToSide(*S, Peer, Message);
+        deliverToSide(*Side, Peer, Message);
     });
 }
 
-void World::deliverToSide(SideNode &S, const std::string &Peer,
-                          const wire::Envelope &Message) {
-  if (S.PausedUntil > Clock) {
-    const uint64_t Life = S.Life;
-    at(S.PausedUntil - Clock, [this, &S, Peer, Message, Life] {
-      if (S.Life == Life)
-        deliverToSide(S, Peer, Message);
-    });
+void Simulation::deliverToSide(SideNode &Side, const std::string &Peer,
+                               const wire::Envelope &Message) {
+  if (Side.PausedUntil > Clock) {
+    const uint64_t RestartCount = Side.RestartCount;
+    schedule(Side.PausedUntil - Clock,
+             [this, &Side, Peer, Message, RestartCount] {
+               if (Side.RestartCount == RestartCount)
+                 deliverToSide(Side, Peer, Message);
+             });
     return;
   }
   side::Actions Out;
-  S.Machine->onEnvelope(now(S.WallOffset), Peer, Message, Out);
-  perform(S, Out);
+  Side.Machine->onEnvelope(now(Side.WallOffset), Peer, Message, Out);
+  perform(Side, Out);
 }
 
-void World::toPeer(SideNode &S, const std::string &Peer,
-                   const wire::Envelope &Message) {
+void Simulation::sendToPeer(SideNode &Side, const std::string &Peer,
+                            const wire::Envelope &Message) {
   const size_t First = Peer.find('/');
   const size_t Last = Peer.rfind('/');
   if (First == std::string::npos)
     return;
   if (Peer.rfind("side/", 0) == 0) {
-    // A reply to another side, over that side's own connection.
+    // A reply to another side, over the connection that the other side opened.
     SideNode *To = sideOf(Peer.substr(5));
-    const std::string From = S.Upstream;
+    const std::string From = Side.Upstream;
     if (lostBetweenSides())
       return;
-    at(networkDelay(),
-       [this, To, From, Message] { deliverToSide(*To, From, Message); });
+    schedule(networkDelay(),
+             [this, To, From, Message] { deliverToSide(*To, From, Message); });
     return;
   }
-  EntryNode &E = *Entries[std::stoul(Peer.substr(0, First))];
-  const auto C = E.Channels[S.Upstream];
+  EntryNode &Entry = *Entries[std::stoul(Peer.substr(0, First))];
+  const auto C = Entry.Connections[Side.Upstream];
   const uint64_t Serial = std::stoull(Peer.substr(Last + 1));
-  const std::string Upstream = S.Upstream;
-  at(networkDelay(), [this, &E, C, Serial, Upstream, Message] {
-    if (!C || C->Silent || C->Serial != Serial || E.Channels[Upstream] != C)
-      return; // That connection is gone.
+  const std::string Upstream = Side.Upstream;
+  schedule(networkDelay(), [this, &Entry, C, Serial, Upstream, Message] {
+    if (!C || C->Silent || C->Serial != Serial ||
+        Entry.Connections[Upstream] != C)
+      return; // The connection has been replaced.
     entry::Actions Out;
-    E.Machine->onEnvelope(now(E.WallOffset), Upstream, Message, Out);
-    perform(E, Out);
+    Entry.Machine->onEnvelope(now(Entry.WallOffset), Upstream, Message, Out);
+    perform(Entry, Out);
   });
 }
 
-void World::perform(EntryNode &E, entry::Actions &Out) {
+void Simulation::perform(EntryNode &Entry, entry::Actions &Out) {
   for (entry::Action &A : Out) {
     if (auto *Send = std::get_if<entry::SendSide>(&A)) {
-      toSide(E, Send->Upstream, Send->Message);
+      sendToSide(Entry, Send->Upstream, Send->Message);
     } else if (auto *Reset = std::get_if<entry::ResetConnection>(&A)) {
-      const auto Old = E.Channels[Reset->Upstream];
-      auto Fresh = std::make_shared<Channel>();
-      Fresh->Serial = Old ? Old->Serial + 1 : 1;
-      E.Channels[Reset->Upstream] = Fresh;
+      const auto Previous = Entry.Connections[Reset->Upstream];
+      auto Replacement = std::make_shared<Connection>();
+      Replacement->Serial = Previous ? Previous->Serial + 1 : 1;
+      Entry.Connections[Reset->Upstream] = Replacement;
     } else if (auto *Data = std::get_if<entry::DeliverData>(&A)) {
       Submissions.at(Data->RequestId).Received += Data->Bytes;
-    } else if (auto *Whole = std::get_if<entry::DeliverWhole>(&A)) {
-      Submissions.at(Whole->RequestId).Received = Whole->Body;
-      end(Whole->RequestId, Outcome::Ran, Whole->Status == 200, Code::None);
+    } else if (auto *Answer = std::get_if<entry::DeliverWhole>(&A)) {
+      Submissions.at(Answer->RequestId).Received = Answer->Body;
+      endRequest(Answer->RequestId, Outcome::Ran, Answer->Status == 200,
+                 Code::None);
     } else if (auto *Done = std::get_if<entry::DeliverEnd>(&A)) {
-      end(Done->RequestId, Outcome::Ran, true, Code::None);
-    } else if (auto *Bad = std::get_if<entry::DeliverError>(&A)) {
-      end(Bad->RequestId, Bad->Known, false, Bad->Why);
+      endRequest(Done->RequestId, Outcome::Ran, true, Code::None);
+    } else if (auto *Failed = std::get_if<entry::DeliverError>(&A)) {
+      endRequest(Failed->RequestId, Failed->Known, false, Failed->Why);
     }
   }
 }
 
-void World::end(const std::string &Id, Outcome Known, bool Whole, Code Why) {
-  Submission &S = Submissions.at(Id);
-  if (S.Ended)
-    violate("request " + Id + " ended twice");
-  S.Ended = true;
+void Simulation::endRequest(const std::string &Id, Outcome Reported,
+                            bool Complete, Code Error) {
+  Submission &Submitted = Submissions.at(Id);
+  if (Submitted.Ended)
+    reportViolation("request " + Id + " ended twice");
+  Submitted.Ended = true;
   ++Ended;
-  const bool Order = !S.Key.empty();
-  if (Clock > S.Deadline + 2 * Tick)
-    violate("request " + Id + " ended after its deadline");
-  if (Whole) {
+  const bool Order = !Submitted.Key.empty();
+  if (Clock > Submitted.Deadline + 2 * TickInterval)
+    reportViolation("request " + Id + " ended after its deadline");
+  if (Complete) {
     ++(Order ? OrdersAnswered : Answered);
-    const std::string Expected = Order ? "done " + S.Key : S.Tag + "|";
+    const std::string Expected =
+        Order ? "done " + Submitted.Key : Submitted.Tag + "|";
     const std::string Foreign = Order ? "done " : "|";
-    if (S.Received.find(Expected) == std::string::npos)
-      violate("request " + Id + " got another's answer: " + S.Received);
-    if (!Order && S.Received.find("\"" + S.Model + "\"") == std::string::npos)
-      violate("request " + Id + " was answered by another adapter");
+    if (Submitted.Received.find(Expected) == std::string::npos)
+      reportViolation("request " + Id + " received another request's answer: " +
+                      Submitted.Received);
+    if (!Order && Submitted.Received.find("\"" + Submitted.Model + "\"") ==
+                      std::string::npos)
+      reportViolation("request " + Id + " was answered by another adapter");
   }
-  if (Known != Outcome::NotRun)
+  if (Reported != Outcome::NotRun)
     return;
-  if (!Order && CompletionRuns[S.Tag] > 0)
-    violate("request " + Id + " is said not to have run but ran, code " +
-            std::string(codeName(Why)));
-  if (Order && KeyRuns[S.Key] > 0)
-    violate("key " + S.Key + " is said not to have run but ran, code " +
-            std::string(codeName(Why)));
+  if (!Order && CompletionRuns[Submitted.Tag] > 0)
+    reportViolation("request " + Id +
+                    " was reported as not run but ran, code " +
+                    std::string(codeName(Error)));
+  if (Order && KeyRuns[Submitted.Key] > 0)
+    reportViolation("key " + Submitted.Key +
+                    " was reported as not run but ran, code " +
+                    std::string(codeName(Error)));
   if (Order)
-    KeyDenied[S.Key] = Clock;
+    ReportedNotRun[Submitted.Key] = Clock;
   else
-    KeyDenied["tag " + S.Tag] = Clock;
+    ReportedNotRun["tag " + Submitted.Tag] = Clock;
 }
 
-void World::makeFaults() {
+void Simulation::injectFaults() {
   const auto Hit = [&](Fault F, double PerSecond) {
-    return (O.Faults & F) && chance(PerSecond * seconds(Tick));
+    return (Options.Faults & F) && chance(PerSecond * seconds(TickInterval));
   };
-  for (auto &E : Entries)
-    for (auto &[Name, C] : E->Channels)
+  for (auto &Entry : Entries)
+    for (auto &[Name, C] : Entry->Connections)
       if (Hit(SilentConnections, 0.1))
         C->Silent = true;
-  for (auto &S : Sides) {
-    if (S->Engine && S->Fake.DownUntil <= Clock && Hit(EngineCrashes, 0.05))
-      crashEngine(*S);
-    if (S->Engine && Hit(SilentEngines, 0.02))
-      S->Fake.MuteUntil = Clock + upTo(std::chrono::seconds(2));
+  for (auto &Side : Sides) {
+    if (Side->IsEngine && Side->Fake.DownUntil <= Clock &&
+        Hit(EngineCrashes, 0.05))
+      crashEngine(*Side);
+    if (Side->IsEngine && Hit(SilentEngines, 0.02))
+      Side->Fake.SilentUntil = Clock + randomUpTo(std::chrono::seconds(2));
     if (Hit(SidePauses, 0.1))
-      S->PausedUntil = Clock + upTo(std::chrono::seconds(6));
+      Side->PausedUntil = Clock + randomUpTo(std::chrono::seconds(6));
     if (!Hit(SideRestarts, 0.05))
       continue;
-    ++S->Life;
-    S->PausedUntil = Duration{};
-    S->LeaseBusy = false;
-    S->Fake.Runs.clear(); // Its calls' connections are cut.
-    bootSide(*S);
+    ++Side->RestartCount;
+    Side->PausedUntil = Duration{};
+    Side->RenewalInProgress = false;
+    Side->Fake.Runs.clear(); // The restart closes the connections of all runs.
+    startSide(*Side);
   }
   if (OutageUntil <= Clock && Hit(PlatformOutages, 0.1))
-    OutageUntil = Clock + upTo(std::chrono::seconds(6));
+    OutageUntil = Clock + randomUpTo(std::chrono::seconds(6));
 }
 
-void World::submit(size_t Entry, entry::CallerRequest R, Submission S) {
-  EntryNode &E = *Entries[Entry];
-  R.Id = "r" + std::to_string(++Counter);
-  R.Application = "app";
-  S.Sent = Clock;
-  const bool Bulk = R.Rank == "bulk";
-  S.Deadline =
+void Simulation::submit(size_t EntryIndex, entry::CallerRequest Request,
+                        Submission Submitted) {
+  EntryNode &Entry = *Entries[EntryIndex];
+  Request.Id = "r" + std::to_string(++LastId);
+  Request.Application = "app";
+  Submitted.Sent = Clock;
+  const bool Bulk = Request.Rank == "bulk";
+  Submitted.Deadline =
       Clock + (Bulk ? std::chrono::seconds(10) : std::chrono::seconds(5));
-  Submissions[R.Id] = S;
+  Submissions[Request.Id] = Submitted;
   entry::Actions Out;
-  E.Machine->onRequest(now(E.WallOffset), std::move(R), Out);
-  perform(E, Out);
+  Entry.Machine->onRequest(now(Entry.WallOffset), std::move(Request), Out);
+  perform(Entry, Out);
 }
 
-void World::sendCompletion() {
-  entry::CallerRequest R;
-  // Popularity falls with the square root.
+void Simulation::sendCompletion() {
+  entry::CallerRequest Request;
+  // The popularity of an adapter falls with the square root of its number.
   const double Draw = Rand.unit();
-  R.Adapter = "a" + std::to_string(static_cast<size_t>(
-                        Draw * Draw * static_cast<double>(AdapterCount)));
-  R.Version = "1";
-  R.Rank = chance(0.5) ? "urgent" : "bulk";
-  R.Method = "POST";
-  R.Path = "/v1/completions";
-  R.Stream = true;
-  R.MaxTokens = 40;
-  Submission S;
-  const bool Poison = (O.Faults & PoisonRequests) && chance(0.02);
-  S.Tag = Poison ? "poison" : "t" + std::to_string(Counter);
+  Request.Adapter = "a" + std::to_string(static_cast<size_t>(
+                              Draw * Draw * static_cast<double>(AdapterCount)));
+  Request.Version = "1";
+  Request.Rank = chance(0.5) ? "urgent" : "bulk";
+  Request.Method = "POST";
+  Request.Path = "/v1/completions";
+  Request.Stream = true;
+  Request.MaxTokens = 40;
+  Submission Submitted;
+  const bool Poison = (Options.Faults & PoisonRequests) && chance(0.02);
+  Submitted.Tag = Poison ? "poison" : "t" + std::to_string(LastId);
   if (Poison)
-    R.Adapter = "a0";
-  S.Model = slotKey(R.Adapter, R.Version);
-  R.Body = S.Model + " " + S.Tag;
-  // What a poisonous request's copies did is not told apart by tag.
+    Request.Adapter = "a0";
+  Submitted.Model = slotKey(Request.Adapter, Request.Version);
+  Request.Body = Submitted.Model + " " + Submitted.Tag;
+  // All poison requests have the tag "poison" in their bodies, so a run cannot
+  // be attributed to one of them. A tag of its own here exempts each from the
+  // check of completions that were reported as not run.
   if (Poison)
-    S.Tag = "poison" + std::to_string(Counter);
-  submit(Rand.below(EntryCount), std::move(R), std::move(S));
+    Submitted.Tag = "poison" + std::to_string(LastId);
+  submit(Rand.below(EntryCount), std::move(Request), std::move(Submitted));
 }
 
-void World::sendOrder(const std::string &Key, int64_t IssuedMs) {
-  entry::CallerRequest R;
-  R.Method = "POST";
-  R.Path = "/orders";
-  R.Body = Key;
-  R.Key = Key;
-  R.KeyIssuedMs = IssuedMs;
-  Submission S;
-  S.Key = Key;
-  KeySent[Key] = Clock;
-  submit(Rand.below(EntryCount), std::move(R), std::move(S));
-  if (Clock < O.Busy && chance(0.4))
-    at(upTo(std::chrono::seconds(6)),
-       [this, Key, IssuedMs] { sendOrder(Key, IssuedMs); });
+void Simulation::sendOrder(const std::string &Key, int64_t IssuedMs) {
+  entry::CallerRequest Request;
+  Request.Method = "POST";
+  Request.Path = "/orders";
+  Request.Body = Key;
+  Request.Key = Key;
+  Request.KeyIssuedMs = IssuedMs;
+  Submission Submitted;
+  Submitted.Key = Key;
+  KeyLastSent[Key] = Clock;
+  submit(Rand.below(EntryCount), std::move(Request), std::move(Submitted));
+  if (Clock < Options.TrafficDuration && chance(0.4))
+    schedule(randomUpTo(std::chrono::seconds(6)),
+             [this, Key, IssuedMs] { sendOrder(Key, IssuedMs); });
 }
 
-size_t World::ordersRun() const { return KeyRuns.size(); }
+size_t Simulation::ordersRun() const { return KeyRuns.size(); }
 
-void World::tick() {
-  if (Clock < O.Busy) {
-    makeFaults();
+void Simulation::tick() {
+  if (Clock < Options.TrafficDuration) {
+    injectFaults();
     if (chance(0.1))
       sendCompletion();
-    // Keys made before the shards have their first owner cannot be vouched for.
-    if (Clock > FirstOrder && chance(0.03))
-      sendOrder("k" + std::to_string(++Counter),
-                unixMillis(now(upTo(Skew)).Wall));
+    // A shard's first owner cannot tell whether a key issued before its
+    // ownership has run, so orders start once all shards have owners.
+    if (Clock > FirstOrderTime && chance(0.03))
+      sendOrder("k" + std::to_string(++LastId),
+                unixMillis(now(randomUpTo(MaxClockOffset)).Wall));
   }
-  for (auto &E : Entries) {
+  for (auto &Entry : Entries) {
     entry::Actions Out;
-    E->Machine->onTimer(now(E->WallOffset), Out);
-    perform(*E, Out);
+    Entry->Machine->onTimer(now(Entry->WallOffset), Out);
+    perform(*Entry, Out);
   }
-  for (auto &S : Sides) {
-    if (S->PausedUntil > Clock)
+  for (auto &Side : Sides) {
+    if (Side->PausedUntil > Clock)
       continue;
     side::Actions Out;
-    S->Machine->onTimer(now(S->WallOffset), Out);
-    perform(*S, Out);
-    if (S->Lease)
-      stepLease(*S);
+    Side->Machine->onTimer(now(Side->WallOffset), Out);
+    perform(*Side, Out);
+    if (Side->Lease)
+      stepLease(*Side);
   }
 }
 
-void World::run() {
-  const Duration End = O.Busy + LongestDeadline + std::chrono::seconds(8);
-  for (Duration Next{}; Next < End; Next += Tick) {
+void Simulation::run() {
+  const Duration End =
+      Options.TrafficDuration + LongestDeadline + std::chrono::seconds(8);
+  for (Duration Next{}; Next < End; Next += TickInterval) {
     while (!Events.empty() && Events.begin()->first <= Next) {
       Clock = Events.begin()->first;
       const auto Do = std::move(Events.begin()->second);
@@ -370,12 +390,12 @@
     Clock = Next;
     tick();
   }
-  for (const auto &[Id, S] : Submissions)
-    if (!S.Ended)
-      violate("request " + Id + " has no end");
-  for (const auto &E : Entries)
-    if (E->Machine->requestsInProgress() > 0)
-      violate("an entry still holds requests");
+  for (const auto &[Id, Submitted] : Submissions)
+    if (!Submitted.Ended)
+      reportViolation("request " + Id + " has not ended");
+  for (const auto &Entry : Entries)
+    if (Entry->Machine->requestsInProgress() > 0)
+      reportViolation("an entry still has requests in progress");
 }
 
 } // namespace goldcrestlink::testing
--- a/testing/world.h
+++ b/testing/world.h
@@ -1,10 +1,11 @@
-// The real entry and side state machines, joined by a simulated network to
-// fake upstreams and a fake platform, under faults drawn from a seed. An
-// oracle counts what really ran and checks every promise.
+// A deterministic simulation that runs the real entry and side state machines
+// against a simulated network, fake upstreams and a fake platform, and injects
+// faults drawn from a seed. A test oracle records what the upstreams executed
+// and checks every guarantee of the protocol against that record.
 //
-//   World W(WorldOptions{.Seed = 7, .Faults = AllFaults});
-//   W.run();
-//   CHECK(W.violations().empty());
+//   Simulation Sim(SimulationOptions{.Seed = 7, .Faults = AllFaults});
+//   Sim.run();
+//   CHECK(Sim.violations().empty());
 #ifndef GOLDCRESTLINK_TESTING_WORLD_H
 #define GOLDCRESTLINK_TESTING_WORLD_H
 
@@ -22,50 +23,58 @@
 
 namespace goldcrestlink::testing {
 
-/// Kinds of faults; combined as bits.
+/// Kinds of injected faults, combined as a bit mask.
 enum Fault : unsigned {
   NoFaults = 0,
   Delays = 1,
   Duplicates = 2,
+  /// A connection between an entry and a side loses all further messages.
   SilentConnections = 4,
   EngineCrashes = 8,
   SidePauses = 16,
   SideRestarts = 32,
   PlatformOutages = 64,
+  /// A write to the platform takes effect, but its response is lost.
   LostAnswers = 128,
   FailingLoads = 256,
+  /// Requests that crash every engine that runs them.
   PoisonRequests = 512,
+  /// An engine stays up but does not answer for a while.
   SilentEngines = 1024,
-  CrossedAnswers = 2048,
-  /// Messages between sides are lost.
+  /// An engine answers with the response of another request.
+  SwappedAnswers = 2048,
+  /// Messages between sides are dropped.
   LostSideMessages = 4096,
   AllFaults = 8191
 };
 
-struct WorldOptions {
+struct SimulationOptions {
   uint64_t Seed = 1;
   unsigned Faults = AllFaults;
-  /// Simulated time during which callers send; the world then runs on until
-  /// every request has ended.
-  Duration Busy = std::chrono::seconds(15);
+  /// Simulated time during which callers send requests. The simulation then
+  /// continues past the longest deadline, so that every request can end.
+  Duration TrafficDuration = std::chrono::seconds(15);
   side::SideMachine::Options Side;
   entry::EntryMachine::Options Entry;
 };
 
 /// Not thread-safe.
-class World {
+class Simulation {
 public:
-  explicit World(WorldOptions O);
-  ~World();
+  explicit Simulation(SimulationOptions Options);
+  ~Simulation();
+  /// Runs the simulation to its end. Call it once.
   void run();
 
-  /// Broken promises, each with what broke it.
+  /// Violated guarantees, each with seed, simulated time and cause.
   const std::vector<std::string> &violations() const { return Violations; }
   size_t requestsEnded() const { return Ended; }
+  /// Completions answered in full.
   size_t requestsAnswered() const { return Answered; }
+  /// Idempotency keys that a service has executed at least once.
   size_t ordersRun() const;
   size_t ordersAnswered() const { return OrdersAnswered; }
-  /// Engine crashes that the poisonous request caused.
+  /// Engine crashes that poison requests caused.
   size_t poisonCrashes() const { return PoisonCrashes; }
 
 private:
@@ -73,63 +82,72 @@
   struct SideNode;
   struct EntryNode;
   struct Submission;
-  struct Channel;
+  struct Connection;
 
-  void at(Duration Delay, std::function<void()> Do);
+  /// Schedules \p Do to run \p Delay after the present simulated time.
+  void schedule(Duration Delay, std::function<void()> Do);
   void tick();
-  void makeFaults();
+  void injectFaults();
   Now now(Duration WallOffset) const;
   bool chance(double Probability);
-  Duration upTo(Duration Most);
-  void violate(const std::string &What);
+  /// A random duration from zero to \p Max, both included.
+  Duration randomUpTo(Duration Max);
+  void reportViolation(const std::string &What);
 
   void sendCompletion();
   void sendOrder(const std::string &Key, int64_t IssuedMs);
-  void submit(size_t Entry, entry::CallerRequest R, Submission S);
-  void perform(EntryNode &E, entry::Actions &Out);
-  void perform(SideNode &S, side::Actions &Out);
-  void toSide(EntryNode &E, const std::string &Upstream,
-              const wire::Envelope &Message);
-  void toPeer(SideNode &S, const std::string &Peer,
-              const wire::Envelope &Message);
-  void deliverToSide(SideNode &S, const std::string &Peer,
+  void submit(size_t EntryIndex, entry::CallerRequest Request,
+              Submission Submitted);
+  void perform(EntryNode &Entry, entry::Actions &Out);
+  void perform(SideNode &Side, side::Actions &Out);
+  void sendToSide(EntryNode &Entry, const std::string &Upstream,
+                  const wire::Envelope &Message);
+  void sendToPeer(SideNode &Side, const std::string &Peer,
+                  const wire::Envelope &Message);
+  void deliverToSide(SideNode &Side, const std::string &Peer,
                      const wire::Envelope &Message);
-  void end(const std::string &Id, Outcome Known, bool Whole, Code Why);
-  void bootSide(SideNode &S);
-  void startRun(SideNode &S, const side::StartRun &Run);
-  void startLoad(SideNode &S, const side::LoadAdapter &Order);
-  void startCheck(SideNode &S);
-  void crashEngine(SideNode &S);
-  void stepLease(SideNode &S);
-  void applyShards(SideNode &S, const ShardEffects &Effects);
+  void endRequest(const std::string &Id, Outcome Reported, bool Complete,
+                  Code Error);
+  void startSide(SideNode &Side);
+  void startRun(SideNode &Side, const side::StartRun &Run);
+  void startLoad(SideNode &Side, const side::LoadAdapter &Order);
+  void startCheck(SideNode &Side);
+  void crashEngine(SideNode &Side);
+  void stepLease(SideNode &Side);
+  void applyShards(SideNode &Side, const ShardEffects &Effects);
   SideNode *sideOf(const std::string &Upstream);
   Duration networkDelay();
   bool lostBetweenSides();
 
-  WorldOptions O;
+  SimulationOptions Options;
   Random Rand;
+  /// Simulated time since the start.
   Duration Clock{};
   std::multimap<Duration, std::function<void()>> Events;
   std::shared_ptr<const Declarations> Config;
   std::vector<std::unique_ptr<SideNode>> Sides;
   std::vector<std::unique_ptr<EntryNode>> Entries;
   std::map<std::string, Submission> Submissions;
-  /// Runs of each completion by its tag, and of each key.
+  /// How often an upstream has executed each completion (by tag) and each
+  /// idempotency key.
   std::map<std::string, size_t> CompletionRuns;
   std::map<std::string, size_t> KeyRuns;
-  /// Keys that were reported as not run, and when a caller last sent them.
-  std::map<std::string, Duration> KeyDenied;
-  std::map<std::string, Duration> KeySent;
-  std::string Table;
-  uint64_t TableVersion = 0;
+  /// When an entry last reported a request as not run, by idempotency key or,
+  /// for a completion, by "tag " and its tag.
+  std::map<std::string, Duration> ReportedNotRun;
+  /// When a caller last sent each idempotency key.
+  std::map<std::string, Duration> KeyLastSent;
+  /// The shard table as stored at the platform, serialised.
+  std::string StoredTable;
+  uint64_t StoredTableVersion = 0;
   Duration OutageUntil{};
   std::vector<std::string> Violations;
-  size_t Counter = 0;
+  size_t LastId = 0;
   size_t Ended = 0;
   size_t Answered = 0;
   size_t OrdersAnswered = 0;
   size_t PoisonCrashes = 0;
-  uint64_t Incarnations = 0;
+  uint64_t LastIncarnation = 0;
 };
 
 } // namespace goldcrestlink::testing
--- a/testing/world_engines.cc
+++ b/testing/world_engines.cc
@@ -1,5 +1,6 @@
-// The engines of a World: they carry out what sides tell them, each step after
-// a delay in which the engine or the side may end.
+// The upstreams of a Simulation. They execute the actions of their sides. Every
+// step takes effect after a delay, in which the engine may crash and the side
+// may restart; CrashCount and RestartCount show whether that has happened.
 #include "testing/world.h"
 
 #include <algorithm>
@@ -9,101 +10,104 @@
 namespace goldcrestlink::testing {
 
 namespace {
-constexpr Duration TokenTime = std::chrono::milliseconds(10);
-constexpr Duration CallTime = std::chrono::milliseconds(30);
-constexpr Duration LoadTime = std::chrono::milliseconds(50);
+constexpr Duration TokenDuration = std::chrono::milliseconds(10);
+constexpr Duration CallDuration = std::chrono::milliseconds(30);
+constexpr Duration MinLoadDuration = std::chrono::milliseconds(50);
 } // namespace
 
-void World::perform(SideNode &S, side::Actions &Out) {
+void Simulation::perform(SideNode &Side, side::Actions &Out) {
   for (side::Action &A : Out) {
     if (auto *R = std::get_if<side::Reply>(&A)) {
-      toPeer(S, R->Peer, R->Message);
+      sendToPeer(Side, R->Peer, R->Message);
     } else if (auto *T = std::get_if<side::TellSide>(&A)) {
       SideNode *To = sideOf(T->Upstream);
-      const std::string Peer = "side/" + S.Upstream;
+      const std::string Peer = "side/" + Side.Upstream;
       const wire::Envelope Message = T->Message;
-      if (lostBetweenSides() && To != &S)
+      if (lostBetweenSides() && To != &Side)
         continue;
-      at(networkDelay(),
-         [this, To, Peer, Message] { deliverToSide(*To, Peer, Message); });
+      schedule(networkDelay(), [this, To, Peer, Message] {
+        deliverToSide(*To, Peer, Message);
+      });
     } else if (auto *Run = std::get_if<side::StartRun>(&A)) {
-      startRun(S, *Run);
+      startRun(Side, *Run);
     } else if (auto *C = std::get_if<side::CancelRun>(&A)) {
-      S.Fake.Runs.erase(C->AttemptId);
+      Side.Fake.Runs.erase(C->AttemptId);
     } else if (auto *L = std::get_if<side::LoadAdapter>(&A)) {
-      startLoad(S, *L);
+      startLoad(Side, *L);
     } else if (std::get_if<side::CheckUpstream>(&A)) {
-      startCheck(S);
+      startCheck(Side);
     }
   }
 }
 
-void World::startLoad(SideNode &S, const side::LoadAdapter &Order) {
-  for (const auto &[Id, R] : S.Fake.Runs)
+void Simulation::startLoad(SideNode &Side, const side::LoadAdapter &Order) {
+  for (const auto &[Id, R] : Side.Fake.Runs)
     if (R.Slot == Order.Slot)
-      violate("slot " + std::to_string(Order.Slot) + " of " + S.Upstream +
-              " is replaced while it serves");
-  const uint64_t Life = S.Fake.Life;
-  const uint64_t SideLife = S.Life;
-  S.Fake.Slots[Order.Slot].clear();
-  const bool Fails = (O.Faults & FailingLoads) && chance(0.1);
-  at(LoadTime + upTo(LoadTime), [this, &S, Order, Life, SideLife, Fails] {
-    const bool Loaded = S.Fake.Life == Life && !Fails;
-    if (Loaded)
-      S.Fake.Slots[Order.Slot] = Order.Key;
-    if (S.Life != SideLife)
-      return;
-    side::Actions More;
-    S.Machine->onLoadDone(now(S.WallOffset), Order.Slot, Order.Key, Loaded,
-                          More);
-    perform(S, More);
-  });
+      reportViolation("slot " + std::to_string(Order.Slot) + " of " +
+                      Side.Upstream + " is replaced while in use");
+  const uint64_t CrashCount = Side.Fake.CrashCount;
+  const uint64_t RestartCount = Side.RestartCount;
+  Side.Fake.Slots[Order.Slot].clear();
+  const bool Fails = (Options.Faults & FailingLoads) && chance(0.1);
+  schedule(MinLoadDuration + randomUpTo(MinLoadDuration),
+           [this, &Side, Order, CrashCount, RestartCount, Fails] {
+             const bool Loaded = Side.Fake.CrashCount == CrashCount && !Fails;
+             if (Loaded)
+               Side.Fake.Slots[Order.Slot] = Order.Key;
+             if (Side.RestartCount != RestartCount)
+               return;
+             side::Actions More;
+             Side.Machine->onLoadDone(now(Side.WallOffset), Order.Slot,
+                                      Order.Key, Loaded, More);
+             perform(Side, More);
+           });
 }
 
-void World::startCheck(SideNode &S) {
-  const uint64_t SideLife = S.Life;
-  at(Duration(1000), [this, &S, SideLife] {
-    if (S.Life != SideLife)
+void Simulation::startCheck(SideNode &Side) {
+  const uint64_t RestartCount = Side.RestartCount;
+  schedule(Duration(1000), [this, &Side, RestartCount] {
+    if (Side.RestartCount != RestartCount)
       return;
     side::UpstreamStatus Status;
-    if (S.Fake.DownUntil > Clock)
+    if (Side.Fake.DownUntil > Clock)
       Status.Is = side::UpstreamStatus::Kind::Refused;
-    else if (S.Fake.MuteUntil > Clock)
+    else if (Side.Fake.SilentUntil > Clock)
       Status.Is = side::UpstreamStatus::Kind::Silent;
-    if (S.Engine)
-      Status.SlotKeys = S.Fake.Slots;
+    if (Side.IsEngine)
+      Status.SlotKeys = Side.Fake.Slots;
     side::Actions More;
-    S.Machine->onUpstreamCheck(now(S.WallOffset), Status, More);
-    perform(S, More);
+    Side.Machine->onUpstreamCheck(now(Side.WallOffset), Status, More);
+    perform(Side, More);
   });
 }
 
-void World::startRun(SideNode &S, const side::StartRun &Run) {
+void Simulation::startRun(SideNode &Side, const side::StartRun &Run) {
   const std::string Id = Run.AttemptId;
-  const uint64_t SideLife = S.Life;
-  // Reports to the machine unless the side or the engine died meanwhile. A
-  // paused side hears of it when it resumes.
-  const auto Report = [this, &S, SideLife](auto What) {
-    const Duration Wait = std::max(Duration(0), S.PausedUntil - Clock);
-    at(Wait, [this, &S, SideLife, What] {
-      if (S.Life != SideLife)
+  const uint64_t RestartCount = Side.RestartCount;
+  // Reports an event to the state machine, unless the side has restarted since
+  // the run began. A paused side receives it when it resumes.
+  const auto Report = [this, &Side, RestartCount](auto Event) {
+    const Duration Wait = std::max(Duration(0), Side.PausedUntil - Clock);
+    schedule(Wait, [this, &Side, RestartCount, Event] {
+      if (Side.RestartCount != RestartCount)
         return;
       side::Actions Out;
-      What(*S.Machine, now(S.WallOffset), Out);
-      perform(S, Out);
+      Event(*Side.Machine, now(Side.WallOffset), Out);
+      perform(Side, Out);
     });
   };
-  if (!S.Engine) {
+  if (!Side.IsEngine) {
     const std::string Key = Run.IdempotencyKey;
-    // The call leaves after a moment, in which the side may be paused.
-    at(upTo(std::chrono::milliseconds(1)), [this, Report, Id, Key] {
+    // The call is sent after a short delay, in which the side may be paused.
+    schedule(randomUpTo(std::chrono::milliseconds(1)), [this, Report, Id, Key] {
       if (++KeyRuns[Key] > 1)
-        violate("key " + Key + " ran " + std::to_string(KeyRuns[Key]) +
-                " times");
-      const auto Denied = KeyDenied.find(Key);
-      if (Denied != KeyDenied.end() && KeySent[Key] <= Denied->second)
-        violate("key " + Key + " ran after it was said not to run");
-      at(CallTime, [Report, Id, Key] {
+        reportViolation("key " + Key + " ran " + std::to_string(KeyRuns[Key]) +
+                        " times");
+      const auto NotRunSince = ReportedNotRun.find(Key);
+      if (NotRunSince != ReportedNotRun.end() &&
+          KeyLastSent[Key] <= NotRunSince->second)
+        reportViolation("key " + Key + " ran after it was reported as not run");
+      schedule(CallDuration, [Report, Id, Key] {
         Report(
             [Id, Key](side::SideMachine &M, const Now &N, side::Actions &Out) {
               M.onRunHead(N, Id, 200, "text/plain", Out);
@@ -114,41 +118,43 @@
     });
     return;
   }
-  if (S.Fake.DownUntil > Clock)
+  if (Side.Fake.DownUntil > Clock)
     return Report([Id](side::SideMachine &M, const Now &N, side::Actions &Out) {
       M.onRunError(N, Id, side::RunError::NotSent, Out);
     });
-  // The body is "model tag" in this world.
+  // Simulated completions have the body "model tag".
   const std::string Model = Run.Body.substr(0, Run.Body.find(' '));
   const std::string Tag = Run.Body.substr(Run.Body.find(' ') + 1);
-  const auto Slot = std::find(S.Fake.Slots.begin(), S.Fake.Slots.end(), Model);
-  if (Slot == S.Fake.Slots.end())
+  const auto Slot =
+      std::find(Side.Fake.Slots.begin(), Side.Fake.Slots.end(), Model);
+  if (Slot == Side.Fake.Slots.end())
     return Report([Id](side::SideMachine &M, const Now &N, side::Actions &Out) {
       M.onRunHead(N, Id, 404, "", Out);
       M.onRunDone(N, Id, Out);
     });
   ++CompletionRuns[Tag];
-  if (KeyDenied.count("tag " + Tag))
-    violate("request " + Tag + " ran after it was said not to run");
-  S.Fake.Runs[Id] = {Tag, static_cast<size_t>(Slot - S.Fake.Slots.begin()),
-                     Tag == "poison"};
+  if (ReportedNotRun.count("tag " + Tag))
+    reportViolation("request " + Tag + " ran after it was reported as not run");
+  Side.Fake.Runs[Id] = {Tag,
+                        static_cast<size_t>(Slot - Side.Fake.Slots.begin()),
+                        Tag == "poison"};
   if (Tag == "poison") {
-    at(TokenTime, [this, &S] {
+    schedule(TokenDuration, [this, &Side] {
       ++PoisonCrashes;
-      crashEngine(S);
+      crashEngine(Side);
     });
     return;
   }
-  const uint64_t Life = S.Fake.Life;
-  const auto Finish = [this, &S, Report, Id, Model, Tag, Life] {
-    if (S.Fake.Life != Life || !S.Fake.Runs.count(Id))
+  const uint64_t CrashCount = Side.Fake.CrashCount;
+  const auto Finish = [this, &Side, Report, Id, Model, Tag, CrashCount] {
+    if (Side.Fake.CrashCount != CrashCount || !Side.Fake.Runs.count(Id))
       return;
-    if (S.Fake.MuteUntil > Clock)
-      return; // Never answers: the connection went silent.
-    S.Fake.Runs.erase(Id);
-    const bool Crossed = (O.Faults & CrossedAnswers) && chance(0.1);
-    const std::string Text = Crossed ? "somebody" : Tag;
-    const std::string Echo = Crossed ? "another" : Id;
+    if (Side.Fake.SilentUntil > Clock)
+      return; // A silent engine never answers this run.
+    Side.Fake.Runs.erase(Id);
+    const bool Swapped = (Options.Faults & SwappedAnswers) && chance(0.1);
+    const std::string Text = Swapped ? "somebody" : Tag;
+    const std::string Echo = Swapped ? "another" : Id;
     Report([Id, Model, Text, Echo](side::SideMachine &M, const Now &N,
                                    side::Actions &Out) {
       const std::string Part = "data: {\"id\":\"cmpl-" + Echo +
@@ -161,25 +167,27 @@
       M.onRunDone(N, Id, Out);
     });
   };
-  at(TokenTime * static_cast<int64_t>(1 + Rand.below(40)), Finish);
+  schedule(TokenDuration * static_cast<int64_t>(1 + Rand.below(40)), Finish);
 }
 
-void World::crashEngine(SideNode &S) {
-  ++S.Fake.Life;
-  S.Fake.Slots.assign(WorldSlotCount, std::string());
-  S.Fake.DownUntil = Clock + std::chrono::milliseconds(100) +
-                     upTo(std::chrono::milliseconds(800));
-  const auto Runs = S.Fake.Runs;
-  S.Fake.Runs.clear();
-  const uint64_t SideLife = S.Life;
+void Simulation::crashEngine(SideNode &Side) {
+  ++Side.Fake.CrashCount;
+  Side.Fake.Slots.assign(EngineSlotCount, std::string());
+  Side.Fake.DownUntil = Clock + std::chrono::milliseconds(100) +
+                        randomUpTo(std::chrono::milliseconds(800));
+  const auto Runs = Side.Fake.Runs;
+  Side.Fake.Runs.clear();
+  const uint64_t RestartCount = Side.RestartCount;
   for (const auto &[Id, R] : Runs)
-    at(upTo(std::chrono::milliseconds(2)), [this, &S, Id = Id, SideLife] {
-      if (S.Life != SideLife)
-        return;
-      side::Actions Out;
-      S.Machine->onRunError(now(S.WallOffset), Id, side::RunError::Broken, Out);
-      perform(S, Out);
-    });
+    schedule(randomUpTo(std::chrono::milliseconds(2)),
+             [this, &Side, Id = Id, RestartCount] {
+               if (Side.RestartCount != RestartCount)
+                 return;
+               side::Actions Out;
+               Side.Machine->onRunError(now(Side.WallOffset), Id,
+                                        side::RunError::Broken, Out);
+               perform(Side, Out);
+             });
 }
 
 } // namespace goldcrestlink::testing
--- a/testing/world_leases.cc
+++ b/testing/world_leases.cc
@@ -1,68 +1,69 @@
-// How a World's sides renew their leases on shards: one read, plan and
-// conditional write, each with a delay in which anything may happen.
+// How the sides of a Simulation renew their shard leases: a read, the planning
+// and a conditional write. Each step follows a delay in which the side may
+// pause or restart and the platform may fail.
 #include "testing/world.h"
 
 #include "testing/world_nodes.h"
 
 namespace goldcrestlink::testing {
 
-void World::applyShards(SideNode &S, const ShardEffects &Effects) {
+void Simulation::applyShards(SideNode &Side, const ShardEffects &Effects) {
   if (Effects.EndLease)
-    S.Machine->endLease();
+    Side.Machine->endLease();
   for (uint32_t Shard : Effects.Drop)
-    S.Machine->dropShard(Shard);
+    Side.Machine->dropShard(Shard);
   for (const auto &T : Effects.Take)
-    S.Machine->takeShard(now(S.WallOffset), T.Shard, T.FencingNumber);
+    Side.Machine->takeShard(now(Side.WallOffset), T.Shard, T.FencingNumber);
   if (Effects.LeaseUntil)
-    S.Machine->extendLease(*Effects.LeaseUntil);
+    Side.Machine->extendLease(*Effects.LeaseUntil);
   if (!Effects.Owners.empty())
-    S.Machine->setShardOwners(Effects.Owners);
+    Side.Machine->setShardOwners(Effects.Owners);
 }
 
-// One read, plan and conditional write, each with a delay in which anything
-// may happen.
-void World::stepLease(SideNode &S) {
-  if (S.LeaseBusy || !S.Lease->due(now({}).Steady))
+// Starts one renewal if it is due and none is in progress.
+void Simulation::stepLease(SideNode &Side) {
+  if (Side.RenewalInProgress || !Side.Lease->due(now({}).Steady))
     return;
-  S.LeaseBusy = true;
-  const uint64_t Life = S.Life;
-  const auto Resumed = [this, &S, Life](auto Do) {
-    const Duration Wait = std::max(Duration(0), S.PausedUntil - Clock);
-    at(networkDelay() + Wait, [&S, Life, Do] {
-      if (S.Life == Life)
+  Side.RenewalInProgress = true;
+  const uint64_t RestartCount = Side.RestartCount;
+  const auto WhenResumed = [this, &Side, RestartCount](auto Do) {
+    const Duration Wait = std::max(Duration(0), Side.PausedUntil - Clock);
+    schedule(networkDelay() + Wait, [&Side, RestartCount, Do] {
+      if (Side.RestartCount == RestartCount)
         Do();
     });
   };
-  Resumed([this, &S, Resumed] {
+  WhenResumed([this, &Side, WhenResumed] {
     if (OutageUntil > Clock) {
-      S.LeaseBusy = false;
-      return S.Lease->onFailed(now({}).Steady);
+      Side.RenewalInProgress = false;
+      return Side.Lease->onFailed(now({}).Steady);
     }
-    const uint64_t Version = TableVersion;
+    const uint64_t Version = StoredTableVersion;
     wire::ShardTable Read;
-    Read.ParseFromString(Table);
-    Resumed([this, &S, Resumed, Version, Read] {
+    Read.ParseFromString(StoredTable);
+    WhenResumed([this, &Side, WhenResumed, Version, Read] {
       wire::ShardTable Wanted = Read;
       ShardEffects Before;
-      S.Lease->plan(now({}).Steady, Wanted, Before);
-      applyShards(S, Before);
+      Side.Lease->plan(now({}).Steady, Wanted, Before);
+      applyShards(Side, Before);
       const Time SentAt = now({}).Steady;
-      // The write takes effect at the platform whether or not the side is
-      // paused then.
-      at(networkDelay(), [this, &S, Resumed, Version, Wanted, SentAt] {
-        const bool Took = OutageUntil <= Clock && Version == TableVersion;
-        const bool Lost = (O.Faults & LostAnswers) && chance(0.2);
-        if (Took) {
-          Table = Wanted.SerializeAsString();
-          ++TableVersion;
+      // The platform applies the write even if the side is paused by then.
+      schedule(networkDelay(), [this, &Side, WhenResumed, Version, Wanted,
+                                SentAt] {
+        const bool Applied =
+            OutageUntil <= Clock && Version == StoredTableVersion;
+        const bool ResponseLost = (Options.Faults & LostAnswers) && chance(0.2);
+        if (Applied) {
+          StoredTable = Wanted.SerializeAsString();
+          ++StoredTableVersion;
         }
-        Resumed([this, &S, Took, Lost, Wanted, SentAt] {
-          S.LeaseBusy = false;
-          if (!Took || Lost)
-            return S.Lease->onFailed(now({}).Steady);
+        WhenResumed([this, &Side, Applied, ResponseLost, Wanted, SentAt] {
+          Side.RenewalInProgress = false;
+          if (!Applied || ResponseLost)
+            return Side.Lease->onFailed(now({}).Steady);
           ShardEffects After;
-          S.Lease->onWritten(SentAt, now({}).Steady, Wanted, After);
-          applyShards(S, After);
+          Side.Lease->onWritten(SentAt, now({}).Steady, Wanted, After);
+          applyShards(Side, After);
         });
       });
     });
--- a/testing/world_nodes.h
+++ b/testing/world_nodes.h
@@ -1,7 +1,7 @@
-// The nodes of a World: sides with the engine beside them, entries, and what
-// callers have submitted. For the World's own sources only.
+// The nodes of a Simulation: the sides with their upstreams, the entries, and
+// the requests that callers have sent. Internal to the sources of Simulation.
 //
-//   World::SideNode &S = *Sides.front();
+//   Simulation::SideNode &S = *Sides.front();
 //   S.Fake.Runs.size();
 #ifndef GOLDCRESTLINK_TESTING_WORLD_NODES_H
 #define GOLDCRESTLINK_TESTING_WORLD_NODES_H
@@ -10,48 +10,54 @@
 
 namespace goldcrestlink::testing {
 
-constexpr size_t WorldSlotCount = 3;
+constexpr size_t EngineSlotCount = 3;
 
-// What the engine beside a side holds and runs.
-struct World::FakeEngine {
+// The adapters that the engine of a side holds, and the requests it runs.
+struct Simulation::FakeEngine {
   struct Running {
     std::string Tag;
     size_t Slot = 0;
     bool Poison = false;
   };
-  std::vector<std::string> Slots = std::vector<std::string>(WorldSlotCount);
+  std::vector<std::string> Slots = std::vector<std::string>(EngineSlotCount);
   std::map<std::string, Running> Runs;
-  uint64_t Life = 0;
+  uint64_t CrashCount = 0;
   Duration DownUntil{};
-  Duration MuteUntil{};
+  Duration SilentUntil{};
 };
 
-struct World::Channel {
+/// A connection between an entry and a side.
+struct Simulation::Connection {
+  /// Incremented when the entry replaces the connection.
   uint64_t Serial = 0;
+  /// Set by a fault: all further messages are lost.
   bool Silent = false;
 };
 
-struct World::SideNode {
+struct Simulation::SideNode {
   std::string Upstream;
-  bool Engine = true;
+  bool IsEngine = true;
   std::unique_ptr<side::SideMachine> Machine;
   std::unique_ptr<ShardLease> Lease;
   FakeEngine Fake;
   Duration WallOffset{};
   Duration PausedUntil{};
-  uint64_t Life = 0;
-  bool LeaseBusy = false;
+  uint64_t RestartCount = 0;
+  bool RenewalInProgress = false;
 };
 
-struct World::EntryNode {
+struct Simulation::EntryNode {
   size_t Index = 0;
   std::unique_ptr<entry::EntryMachine> Machine;
   Duration WallOffset{};
-  std::map<std::string, std::shared_ptr<Channel>> Channels;
+  std::map<std::string, std::shared_ptr<Connection>> Connections;
 };
 
-struct World::Submission {
+/// A request as sent by a caller, and the part of its answer received so far.
+struct Simulation::Submission {
+  /// Identifies a completion in the record of runs.
   std::string Tag;
+  /// The idempotency key of an order; empty for a completion.
   std::string Key;
   std::string Model;
   std::string Received;
--- a/testing/world_test.cc
+++ b/testing/world_test.cc
@@ -1,6 +1,7 @@
-// Stateful fuzzing: the entry and side machines under every kind of fault,
-// alone, in pairs and all together, against the oracle in world.cc. Each
-// protection is also switched off once, to see that the fuzzer notices.
+// Stateful fuzzing of the entry and side state machines: every kind of fault
+// alone, selected combinations, and all together, checked by the oracle of the
+// simulation. Each protection is also disabled once, to verify that the
+// simulation detects the resulting violation.
 #include <cstdlib>
 
 #include <doctest/doctest.h>
@@ -33,16 +34,17 @@
     {"silent engines", SilentEngines, 6},
     {"pauses and outages", SidePauses | PlatformOutages, 8},
     {"restarts and lost answers", SideRestarts | LostAnswers, 8},
-    {"silence and crashes", SilentConnections | EngineCrashes, 8},
-    {"delays, duplicates, silence", Delays | Duplicates | SilentConnections, 8},
-    {"crossed answers", CrossedAnswers, 6},
+    {"silent connections and crashes", SilentConnections | EngineCrashes, 8},
+    {"delays, duplicates, silent connections",
+     Delays | Duplicates | SilentConnections, 8},
+    {"swapped answers", SwappedAnswers, 6},
     {"lost side messages", LostSideMessages, 6},
     {"lost side messages and crashes",
      LostSideMessages | EngineCrashes | FailingLoads, 6},
     {"all", AllFaults, 30},
 };
 
-// More seeds from the environment for longer runs outside CI.
+// Multiplies the number of seeds, for longer runs outside CI.
 uint64_t seedFactor() {
   const char *Text = std::getenv("GOLDCRESTLINK_FUZZ_FACTOR");
   return Text ? std::strtoull(Text, nullptr, 10) : 1;
@@ -55,52 +57,52 @@
 
 } // namespace
 
-TEST_CASE("every promise holds under faults") {
+TEST_CASE("all guarantees hold under faults") {
   for (const FaultRow &Row : FaultRows) {
     size_t Ended = 0;
     size_t Answered = 0;
     size_t Orders = 0;
     for (uint64_t I = 0; I < Row.Seeds * seedFactor(); ++I) {
-      WorldOptions O;
-      O.Seed = firstSeed() + I;
-      O.Faults = Row.Faults;
-      World W(O);
-      W.run();
-      for (const std::string &V : W.violations())
-        FAIL_CHECK(std::string(Row.Name) << ": " << V);
-      Ended += W.requestsEnded();
-      Answered += W.requestsAnswered() + W.ordersAnswered();
-      Orders += W.ordersRun();
+      SimulationOptions Options;
+      Options.Seed = firstSeed() + I;
+      Options.Faults = Row.Faults;
+      Simulation Sim(Options);
+      Sim.run();
+      for (const std::string &Violation : Sim.violations())
+        FAIL_CHECK(std::string(Row.Name) << ": " << Violation);
+      Ended += Sim.requestsEnded();
+      Answered += Sim.requestsAnswered() + Sim.ordersAnswered();
+      Orders += Sim.ordersRun();
     }
     MESSAGE(std::string(Row.Name) << ": ended " << Ended << " answered "
                                   << Answered << " orders run " << Orders);
     CHECK(Orders > 0);
-    // Nothing fails without a cause.
+    // Without faults every request is answered.
     if (Row.Faults == NoFaults)
       CHECK(Answered == Ended);
   }
 }
 
-TEST_CASE("a poisonous request takes down a bounded number of engines") {
+TEST_CASE("a poison request crashes a bounded number of engines") {
   for (uint64_t Seed = 1; Seed <= 10; ++Seed) {
-    WorldOptions O;
-    O.Seed = Seed;
-    O.Faults = PoisonRequests;
-    World W(O);
-    W.run();
-    CHECK(W.poisonCrashes() <= 2);
+    SimulationOptions Options;
+    Options.Seed = Seed;
+    Options.Faults = PoisonRequests;
+    Simulation Sim(Options);
+    Sim.run();
+    CHECK(Sim.poisonCrashes() <= 2);
   }
 }
 
 namespace {
 
-// One protection switched off, and the faults that should then show.
+// One disabled protection, and faults under which a violation must then occur.
 struct MutationRow {
   const char *Name;
   unsigned Faults;
   void (*Side)(side::SideMachine::Options &);
   void (*Entry)(entry::EntryMachine::Options &);
-  /// Part of the violation that must appear.
+  /// Part of the text of the violation that must be reported.
   const char *Expected;
 };
 
@@ -110,64 +112,66 @@
     {"older keys accepted", SideRestarts, SideMutation::dropBarrier, nullptr,
      "ran 2 times"},
     {"slots not pinned", NoFaults, SideMutation::dropPins, nullptr,
-     "replaced while it serves"},
-    {"answers not checked", CrossedAnswers, SideMutation::dropAnswerCheck,
-     nullptr, "got another's answer"},
-    {"open attempts forgotten", SilentConnections | SidePauses, nullptr,
-     entry::EntryMutation::forgetOpenAttempts, "not to have run but ran"},
+     "replaced while in use"},
+    {"answers not checked", SwappedAnswers, SideMutation::dropAnswerCheck,
+     nullptr, "received another request's answer"},
+    {"open attempts ignored", SilentConnections | SidePauses, nullptr,
+     entry::EntryMutation::forgetOpenAttempts, "reported as not run but ran"},
 };
 
-bool showsViolation(const MutationRow &Row, uint64_t Seed) {
-  WorldOptions O;
-  O.Seed = Seed;
-  O.Faults = Row.Faults;
+bool reportsViolation(const MutationRow &Row, uint64_t Seed) {
+  SimulationOptions Options;
+  Options.Seed = Seed;
+  Options.Faults = Row.Faults;
   if (Row.Side)
-    Row.Side(O.Side);
+    Row.Side(Options.Side);
   if (Row.Entry)
-    Row.Entry(O.Entry);
-  World W(O);
-  W.run();
-  for (const std::string &V : W.violations())
-    if (V.find(Row.Expected) != std::string::npos)
+    Row.Entry(Options.Entry);
+  Simulation Sim(Options);
+  Sim.run();
+  for (const std::string &Violation : Sim.violations())
+    if (Violation.find(Row.Expected) != std::string::npos)
       return true;
   return false;
 }
 
 } // namespace
 
-TEST_CASE("without a protection the fuzzer finds the broken promise") {
-  constexpr uint64_t MostSeeds = 200;
+TEST_CASE("with a protection disabled the simulation reports a violation") {
+  constexpr uint64_t MaxSeeds = 200;
   for (const MutationRow &Row : MutationRows) {
     uint64_t Seed = 1;
-    while (Seed <= MostSeeds && !showsViolation(Row, Seed))
+    while (Seed <= MaxSeeds && !reportsViolation(Row, Seed))
       ++Seed;
     MESSAGE(std::string(Row.Name) << ": found with seed " << Seed);
-    CHECK(Seed <= MostSeeds);
+    CHECK(Seed <= MaxSeeds);
   }
 }
 
-TEST_CASE("without isolation a poisonous request takes down more engines") {
-  WorldOptions O;
-  O.Faults = PoisonRequests;
-  SideMutation::dropIsolation(O.Side);
-  World W(O);
-  W.run();
-  CHECK(W.poisonCrashes() > 2);
+TEST_CASE("without isolation a poison request crashes more engines") {
+  SimulationOptions Options;
+  Options.Faults = PoisonRequests;
+  SideMutation::dropIsolation(Options.Side);
+  Simulation Sim(Options);
+  Sim.run();
+  CHECK(Sim.poisonCrashes() > 2);
 }
 
-TEST_CASE("without recovery from silence, more requests go unanswered") {
+TEST_CASE(
+    "without recovery of silent connections fewer requests are answered") {
   size_t Answered[2] = {};
   for (const bool Protected : {true, false})
     for (uint64_t Seed = 1; Seed <= 5; ++Seed) {
-      WorldOptions O;
-      O.Seed = Seed;
-      O.Faults = SilentConnections;
+      SimulationOptions Options;
+      Options.Seed = Seed;
+      Options.Faults = SilentConnections;
       if (!Protected)
-        entry::EntryMutation::ignoreSilence(O.Entry);
-      World W(O);
-      W.run();
-      CHECK(W.violations().empty());
-      Answered[Protected ? 1 : 0] += W.requestsAnswered() + W.ordersAnswered();
+        entry::EntryMutation::ignoreSilence(Options.Entry);
+      Simulation Sim(Options);
+      Sim.run();
+      CHECK(Sim.violations().empty());
+      Answered[Protected ? 1 : 0] +=
+          Sim.requestsAnswered() + Sim.ordersAnswered();
     }
   MESSAGE("answered " << Answered[1] << ", without recovery " << Answered[0]);
   CHECK(Answered[1] > Answered[0] + 100);
