--- a/cli/apply.cc
+++ b/cli/apply.cc
@@ -1,7 +1,9 @@
-// Chunks are written before the head, each under its hash and only if absent,
-// so a set becomes visible in one conditional update of the head. If that
-// update's answer is lost, the head is read back: it holds either this set,
-// the base, or another operator's.
+// Chunks are written before the head, each under its hash and only if absent.
+// All declarations then become visible with one conditional update of the head.
+// If the response to that update is lost, the head is read back: it holds
+// either these declarations, the base, or those of another operator. Only
+// chunks that the base lacks are written, and the number of attempts is
+// bounded.
 #include "cli/apply.h"
 
 #include <algorithm>
@@ -18,11 +20,11 @@
 
 namespace {
 
-constexpr int SettleTries = 20;
-constexpr int ChunkTries = 3;
-constexpr auto SettlePause = std::chrono::milliseconds(250);
+constexpr int ReadBackAttempts = 20;
+constexpr int ChunkWriteAttempts = 3;
+constexpr auto ReadBackInterval = std::chrono::milliseconds(250);
 
-// Section headers with the text of their entries, for comparing sets.
+// Maps each section's "kind name" to the text of its entries, to compare sets.
 std::map<std::string, std::string>
 sectionTexts(const std::vector<DeclarationFile> &Files) {
   std::map<std::string, std::string> Out;
@@ -43,7 +45,7 @@
     return;
   FindingList Ignored;
   const auto Old = Declarations::parse(Base.Files, 0, Ignored);
-  // Owners and entries must agree on the shard of a key at all times.
+  // Shard owners and entries must map a key to the same shard at all times.
   if (Old->policy().ShardsPerService != New.policy().ShardsPerService)
     Findings.add({"policy", 0}, "'shards_per_service' cannot be changed once "
                                 "it is in force");
@@ -56,30 +58,32 @@
       continue;
     ObjectValue Value;
     ObjectStatus Status = ObjectStatus::Unavailable;
-    // A chunk's name is its content, so writing it again is harmless, and a
-    // conflict means that it is there.
-    for (int I = 0; I < ChunkTries && Status == ObjectStatus::Unavailable; ++I)
+    // A chunk is named by the hash of its content, so writing it again is
+    // harmless, and a conflict means that it already exists.
+    for (int I = 0;
+         I < ChunkWriteAttempts && Status == ObjectStatus::Unavailable; ++I)
       Status = Platform.put(objects::configChunk(Hash), 0, Data, Value);
     if (Status == ObjectStatus::Unavailable)
-      throw std::runtime_error("the platform does not answer; nothing was "
-                               "changed");
+      throw std::runtime_error("object API does not answer; the configuration "
+                               "in force was not changed");
   }
 }
 
-ApplyResult settle(BlockingObjectClient &Platform, const Bundle &B,
-                   const RemoteConfig &Base) {
-  for (int I = 0; I < SettleTries; ++I) {
+// Reads the head back until it shows whether the update took effect.
+ApplyResult confirmUpdate(BlockingObjectClient &Platform, const Bundle &B,
+                          const RemoteConfig &Base) {
+  for (int I = 0; I < ReadBackAttempts; ++I) {
     ObjectValue Value;
     if (Platform.read(objects::ConfigHead, Value) == ObjectStatus::Ok) {
       if (Value.Body == B.Head.text())
         return {ApplyOutcome::Applied, B.Head.Generation, {}};
       if (Value.Version != Base.Version) {
-        const RemoteConfig Theirs = readRemote(Platform);
-        return {ApplyOutcome::Raced, Theirs.Head.Generation,
-                diffSets(Base.Files, Theirs.Files)};
+        const RemoteConfig Theirs = readRemoteConfig(Platform);
+        return {ApplyOutcome::Conflict, Theirs.Head.Generation,
+                diffDeclarations(Base.Files, Theirs.Files)};
       }
     }
-    std::this_thread::sleep_for(SettlePause);
+    std::this_thread::sleep_for(ReadBackInterval);
   }
   return {ApplyOutcome::Unknown, B.Head.Generation, {}};
 }
@@ -108,28 +112,31 @@
   return Out;
 }
 
-RemoteConfig readRemote(BlockingObjectClient &Platform) {
+RemoteConfig readRemoteConfig(BlockingObjectClient &Platform) {
   RemoteConfig Out;
   ObjectValue Value;
   const ObjectStatus Status = Platform.read(objects::ConfigHead, Value);
   if (Status == ObjectStatus::NotFound)
     return Out;
   if (Status != ObjectStatus::Ok)
-    throw std::runtime_error("the platform does not answer");
+    throw std::runtime_error("cannot read the head of the configuration: "
+                             "object API does not answer");
   Out.Version = Value.Version;
   Out.Head = BundleHead::parse(Value.Body);
   for (const std::string &Hash : Out.Head.ChunkHashes) {
     ObjectValue Chunk;
     if (Platform.read(objects::configChunk(Hash), Chunk) != ObjectStatus::Ok)
-      throw std::runtime_error("the platform does not answer");
+      throw std::runtime_error("cannot read a chunk of the configuration: "
+                               "object API does not answer");
     Out.Chunks[Hash] = Chunk.Body;
   }
   Out.Files = unpackBundle(Out.Head, Out.Chunks);
   return Out;
 }
 
-std::vector<std::string> diffSets(const std::vector<DeclarationFile> &From,
-                                  const std::vector<DeclarationFile> &To) {
+std::vector<std::string>
+diffDeclarations(const std::vector<DeclarationFile> &From,
+                 const std::vector<DeclarationFile> &To) {
   const auto Old = sectionTexts(From);
   const auto New = sectionTexts(To);
   std::vector<std::string> Out;
@@ -146,9 +153,9 @@
   return Out;
 }
 
-ApplyResult applySet(BlockingObjectClient &Platform,
-                     const std::vector<DeclarationFile> &Files,
-                     const RemoteConfig &Base) {
+ApplyResult applyDeclarations(BlockingObjectClient &Platform,
+                              const std::vector<DeclarationFile> &Files,
+                              const RemoteConfig &Base) {
   FindingList Findings;
   const uint64_t Generation = Base.Head.Generation + 1;
   const auto Parsed = Declarations::parse(Files, Generation, Findings);
@@ -164,7 +171,7 @@
       Platform.put(objects::ConfigHead, Base.Version, B.Head.text(), Value);
   if (Status == ObjectStatus::Ok)
     return {ApplyOutcome::Applied, Generation, {}};
-  return settle(Platform, B, Base);
+  return confirmUpdate(Platform, B, Base);
 }
 
 } // namespace goldcrestlink
--- a/cli/apply.h
+++ b/cli/apply.h
@@ -1,7 +1,10 @@
-// Operators' commands on sets of declaration files: check, diff and apply.
+// Reads, compares and applies sets of declaration files, for the operators'
+// commands check, diff and apply.
 //
-//   DeclarationSet S = readDeclarations("deploy/");   // throws FindingError
-//   ApplyResult R = apply(Client, S, ExpectedGeneration);
+//   BlockingObjectClient Client({http::Endpoint::parse("127.0.0.1:9000")});
+//   const RemoteConfig Base = readRemoteConfig(Client);
+//   const auto Files = readDeclarationFiles("examples/totara");
+//   ApplyResult R = applyDeclarations(Client, Files, Base);
 #ifndef GOLDCRESTLINK_CLI_APPLY_H
 #define GOLDCRESTLINK_CLI_APPLY_H
 
@@ -14,48 +17,60 @@
 
 namespace goldcrestlink {
 
-/// Files of a set, in the order of their names.
+/// Reads all .ini files of \p Folder, sorted by name. Throws FindingError if
+/// there are none or the folder cannot be read.
 std::vector<DeclarationFile> readDeclarationFiles(const std::string &Folder);
 
-/// The configuration in force on the platform.
+/// The configuration in force, as the platform's object API holds it.
 struct RemoteConfig {
+  /// Object version of the head; 0 if there is no configuration yet.
   uint64_t Version = 0;
   BundleHead Head;
   ChunkMap Chunks;
   std::vector<DeclarationFile> Files;
 };
 
-/// Reads it; throws std::runtime_error if the platform does not answer.
-/// Without a configuration, Version is 0.
-RemoteConfig readRemote(BlockingObjectClient &Platform);
+/// Reads the configuration in force. Throws std::runtime_error if the object
+/// API does not answer, and std::invalid_argument if the configuration cannot
+/// be decoded.
+RemoteConfig readRemoteConfig(BlockingObjectClient &Platform);
 
-/// Sections added, removed and changed from one set to another, one per line.
-std::vector<std::string> diffSets(const std::vector<DeclarationFile> &From,
-                                  const std::vector<DeclarationFile> &To);
+/// Lists the sections that differ between two sets, one per line: "+ kind name"
+/// for an added section, "~ kind name" for a changed and "- kind name" for a
+/// removed one.
+std::vector<std::string>
+diffDeclarations(const std::vector<DeclarationFile> &From,
+                 const std::vector<DeclarationFile> &To);
 
 enum class ApplyOutcome {
   Applied,
-  /// The set is already in force.
+  /// The declarations are already in force.
   Unchanged,
-  /// Another operator was faster; nothing was changed.
-  Raced,
-  /// The platform did not answer, and reading back did not settle it.
+  /// Another operator applied a configuration first; this one was not applied.
+  Conflict,
+  /// The object API did not answer the update, and reading the head back did
+  /// not show whether the update took effect.
   Unknown
 };
 
 struct ApplyResult {
   ApplyOutcome Outcome = ApplyOutcome::Unknown;
+  /// The generation in force; if the outcome is unknown, the one that the
+  /// update was to put in force.
   uint64_t Generation = 0;
-  /// With Raced: what the other operator changed.
+  /// On a conflict: the other operator's changes, as listed by
+  /// diffDeclarations().
   std::vector<std::string> Changes;
 };
 
-/// Checks \p Files against what is in force, then applies them as a whole on
-/// condition that it is still \p Base. Throws FindingError if the set is not
-/// valid, and std::runtime_error if the chunks could not be written.
-ApplyResult applySet(BlockingObjectClient &Platform,
-                     const std::vector<DeclarationFile> &Files,
-                     const RemoteConfig &Base);
+/// Validates \p Files, also against \p Base, then applies all of them
+/// atomically if \p Base is still in force. Throws FindingError if the
+/// declarations are not valid, and std::runtime_error if the chunks cannot be
+/// written or, after a conflict, the other operator's configuration cannot be
+/// read.
+ApplyResult applyDeclarations(BlockingObjectClient &Platform,
+                              const std::vector<DeclarationFile> &Files,
+                              const RemoteConfig &Base);
 
 } // namespace goldcrestlink
 
--- a/cli/fleet_view.cc
+++ b/cli/fleet_view.cc
@@ -1,5 +1,6 @@
-// The processes' own follower of the store does the reading, so that the tool
-// believes what they would believe.
+// Reads with the store watcher that the processes themselves use, so that the
+// tool shows the catalog as they see it. Reading ends when the catalog is
+// complete, or at the timeout.
 #include "cli/fleet_view.h"
 
 #include <boost/asio/io_context.hpp>
@@ -15,7 +16,7 @@
 
 using Json = nlohmann::ordered_json;
 
-bool isWhole(const BeliefRevisions &R) {
+bool isComplete(const BeliefRevisions &R) {
   return R.Config > 0 && R.Upstreams > 0;
 }
 
@@ -40,7 +41,7 @@
           {"state", U.Draining ? "draining" : "ready"}};
 }
 
-Json fleet(const Catalog &C) {
+Json toJson(const Catalog &C) {
   Json Routes = Json::array();
   for (const RouteSpec &R : C.config()->Routes)
     Routes.push_back(routeJson(R));
@@ -63,30 +64,31 @@
 
 } // namespace
 
-Catalog readFleet(const http::Endpoint &Store, Duration Longest) {
+Catalog readFleet(const http::Endpoint &Store, Duration Timeout) {
   boost::asio::io_context Io{1};
-  std::string LastWords = "no answer";
-  StoreFollower *Reading = nullptr;
-  const auto EndIfWhole = [&] {
-    if (isWhole(Reading->catalog().revisions()))
+  std::string LastLogLine = "no answer";
+  StoreFollower *WatcherPtr = nullptr;
+  const auto StopIfComplete = [&] {
+    if (isComplete(WatcherPtr->catalog().revisions()))
       Io.stop();
   };
-  StoreFollower Follower(
-      Io, Store, freshSeed(), EndIfWhole,
-      [&](std::string Line) { LastWords = std::move(Line); });
-  Reading = &Follower;
-  boost::asio::steady_timer Limit(Io, Longest);
-  Limit.async_wait([&](boost::system::error_code) { Io.stop(); });
-  Follower.start();
+  StoreFollower Watcher(
+      Io, Store, freshSeed(), StopIfComplete,
+      [&](std::string Line) { LastLogLine = std::move(Line); });
+  WatcherPtr = &Watcher;
+  boost::asio::steady_timer Deadline(Io, Timeout);
+  Deadline.async_wait([&](boost::system::error_code) { Io.stop(); });
+  Watcher.start();
   Io.run();
-  if (!isWhole(Follower.catalog().revisions()))
-    throw std::runtime_error("the store at " + Store.text() +
-                             " did not tell the whole: " + LastWords);
-  return Follower.catalog();
+  if (!isComplete(Watcher.catalog().revisions()))
+    throw std::runtime_error(
+        "the store at " + Store.text() +
+        " did not send configuration and upstreams in time: " + LastLogLine);
+  return Watcher.catalog();
 }
 
 std::string fleetText(const Catalog &C) {
-  const Json All = fleet(C);
+  const Json All = toJson(C);
   std::string Out;
   addLine(Out, {{"config_version", All["config_version"]},
                 {"upstreams_revision", All["upstreams_revision"]},
@@ -97,6 +99,6 @@
   return Out;
 }
 
-std::string fleetJson(const Catalog &C) { return fleet(C).dump(); }
+std::string fleetJson(const Catalog &C) { return toJson(C).dump(); }
 
 } // namespace goldcrestlink
--- a/cli/fleet_view.h
+++ b/cli/fleet_view.h
@@ -1,4 +1,5 @@
-// What the platform's store says of a deployment, for operators.
+// Reads routes and upstreams of a deployment from the platform's store and
+// prints them for operators.
 //
 //   Catalog C = readFleet({"127.0.0.1", 9000}, std::chrono::seconds(5));
 //   std::fputs(fleetText(C).c_str(), stdout);
@@ -11,14 +12,15 @@
 
 namespace goldcrestlink {
 
-/// Follows the store until its configuration, upstreams and releases are known,
-/// for at most \p Longest; throws std::runtime_error if they are not by then.
-/// Blocks the calling thread.
-Catalog readFleet(const http::Endpoint &Store, Duration Longest);
+/// Watches the store until configuration and upstreams are known. Throws
+/// std::runtime_error if that takes longer than \p Timeout. Blocks the calling
+/// thread.
+Catalog readFleet(const http::Endpoint &Store, Duration Timeout);
 
-/// One line per route, service and upstream, then the number of releases.
+/// A line with the revisions and the number of releases, then one line per
+/// route and per upstream.
 std::string fleetText(const Catalog &C);
-/// The same as a JSON object.
+/// The same content as a JSON object.
 std::string fleetJson(const Catalog &C);
 
 } // namespace goldcrestlink
--- a/cli/main.cc
+++ b/cli/main.cc
@@ -1,6 +1,8 @@
-// The command-line tool:
+// The operators' command-line tool:
 // goldcrestlink check|diff|apply|status|explain|check-settings|fleet|story.
-// Exit codes: 0 done; 1 failed or unknown; 2 findings or usage; 3 lost a race.
+// Exit codes: 0 success; 1 failure or unknown outcome; 2 findings or wrong
+// usage; 3 conflict with another operator. Each command makes one pass over its
+// input; calls to the platform and to processes have timeouts.
 #include <cstdio>
 #include <filesystem>
 #include <fstream>
@@ -22,7 +24,7 @@
 
 constexpr int ExitFailed = 1;
 constexpr int ExitFindings = 2;
-constexpr int ExitRaced = 3;
+constexpr int ExitConflict = 3;
 
 struct Arguments {
   std::string Folder;
@@ -52,13 +54,13 @@
     std::printf("%s\n", Line.c_str());
 }
 
-int check(const Arguments &A) {
+int check(const Arguments &Args) {
   FindingList Findings;
   const auto D =
-      Declarations::parse(readDeclarationFiles(A.Folder), 0, Findings);
+      Declarations::parse(readDeclarationFiles(Args.Folder), 0, Findings);
   if (!Findings.empty())
     throw FindingError(Findings);
-  if (A.Json)
+  if (Args.Json)
     std::printf("%s\n", nlohmann::json{{"adapters", D->adapters().size()},
                                        {"upstreams", D->upstreams().size()}}
                             .dump()
@@ -70,27 +72,29 @@
   return 0;
 }
 
-int diff(const Arguments &A) {
-  BlockingObjectClient Platform(endpoints(A.Platform));
-  const RemoteConfig Remote = readRemote(Platform);
-  printLines(diffSets(Remote.Files, readDeclarationFiles(A.Folder)), A.Json);
+int diff(const Arguments &Args) {
+  BlockingObjectClient Platform(endpoints(Args.Platform));
+  const RemoteConfig Remote = readRemoteConfig(Platform);
+  printLines(diffDeclarations(Remote.Files, readDeclarationFiles(Args.Folder)),
+             Args.Json);
   return 0;
 }
 
-int apply(const Arguments &A) {
-  BlockingObjectClient Platform(endpoints(A.Platform));
-  const RemoteConfig Base = readRemote(Platform);
-  if (A.IfGeneration && Base.Head.Generation != A.IfGeneration) {
-    std::fprintf(stderr, "generation %llu is in force, not %llu\n",
+int apply(const Arguments &Args) {
+  BlockingObjectClient Platform(endpoints(Args.Platform));
+  const RemoteConfig Base = readRemoteConfig(Platform);
+  if (Args.IfGeneration && Base.Head.Generation != Args.IfGeneration) {
+    std::fprintf(stderr,
+                 "generation %llu is in force; --if-generation requires %llu\n",
                  static_cast<unsigned long long>(Base.Head.Generation),
-                 static_cast<unsigned long long>(A.IfGeneration));
-    return ExitRaced;
+                 static_cast<unsigned long long>(Args.IfGeneration));
+    return ExitConflict;
   }
   const ApplyResult R =
-      applySet(Platform, readDeclarationFiles(A.Folder), Base);
+      applyDeclarations(Platform, readDeclarationFiles(Args.Folder), Base);
   static const char *Names[] = {"applied", "unchanged", "raced", "unknown"};
   const char *Name = Names[static_cast<size_t>(R.Outcome)];
-  if (A.Json)
+  if (Args.Json)
     std::printf("%s\n", nlohmann::json{{"outcome", Name},
                                        {"generation", R.Generation},
                                        {"changes", R.Changes}}
@@ -99,20 +103,24 @@
   else
     std::printf("%s: generation %llu\n", Name,
                 static_cast<unsigned long long>(R.Generation));
-  if (R.Outcome == ApplyOutcome::Raced) {
-    std::fprintf(stderr, "another operator applied first; it changed:\n");
-    if (!A.Json)
+  if (R.Outcome == ApplyOutcome::Conflict) {
+    std::fprintf(
+        stderr,
+        "another operator applied a configuration first; its changes:\n");
+    if (!Args.Json)
       printLines(R.Changes, false);
-    return ExitRaced;
+    return ExitConflict;
   }
   return R.Outcome == ApplyOutcome::Unknown ? ExitFailed : 0;
 }
 
-// Prints the status that each cell's status writer keeps on the platform.
-int cellStatus(const Arguments &A) {
-  BlockingObjectClient Platform(endpoints(A.Platform));
+// Prints the status of each declared cell, which the cell's status writer keeps
+// in the object API. Fails if a cell has none.
+int cellStatus(const Arguments &Args) {
+  BlockingObjectClient Platform(endpoints(Args.Platform));
   FindingList Findings;
-  const auto D = Declarations::parse(readRemote(Platform).Files, 0, Findings);
+  const auto D =
+      Declarations::parse(readRemoteConfig(Platform).Files, 0, Findings);
   std::set<std::string> Cells;
   for (const UpstreamDecl &U : D->upstreams())
     Cells.insert(U.Cell);
@@ -121,13 +129,13 @@
   for (const std::string &Cell : Cells) {
     ObjectValue Value;
     if (Platform.read(objects::cellStatus(Cell), Value) != ObjectStatus::Ok) {
-      std::fprintf(stderr, "cell %s has no status\n", Cell.c_str());
+      std::fprintf(stderr, "cannot read the status of cell %s\n", Cell.c_str());
       Exit = ExitFailed;
       continue;
     }
     All.push_back(nlohmann::json::parse(Value.Body));
   }
-  if (A.Json) {
+  if (Args.Json) {
     std::printf("%s\n", All.dump().c_str());
     return Exit;
   }
@@ -137,11 +145,12 @@
   return Exit;
 }
 
-// Prints one page of each process; fails if one does not answer.
-int page(const Arguments &A, const std::string &Target) {
+// Prints the HTTP page \p Target of each process; fails if a process does not
+// answer.
+int printPages(const Arguments &Args, const std::string &Target) {
   int Exit = 0;
   nlohmann::json All = nlohmann::json::object();
-  for (const std::string &Process : A.Processes) {
+  for (const std::string &Process : Args.Processes) {
     http::Request R;
     R.Target = Target;
     std::string Body;
@@ -154,110 +163,121 @@
       Body = std::string(E.what()) + "\n";
       Exit = ExitFailed;
     }
-    if (A.Json)
+    if (Args.Json)
       All[Process] = Body;
     else
       std::printf("%s\n%s", Process.c_str(), Body.c_str());
   }
-  if (A.Json)
+  if (Args.Json)
     std::printf("%s\n", All.dump().c_str());
   return Exit;
 }
 
-std::string fileText(const std::string &Path) {
+std::string readFile(const std::string &Path) {
   std::ifstream In(Path, std::ios::binary);
   if (!In)
     throw std::runtime_error("cannot read " + Path);
   return {std::istreambuf_iterator<char>(In), std::istreambuf_iterator<char>()};
 }
 
-// Reports the findings of all files together.
-int checkSettings(const Arguments &A) {
+// Checks all files before it reports the findings of all of them.
+int checkSettings(const Arguments &Args) {
   std::string Findings;
-  for (const std::string &File : A.Files)
+  for (const std::string &File : Args.Files)
     try {
-      parseSettings(File, fileText(File));
+      parseSettings(File, readFile(File));
     } catch (const FindingError &E) {
       Findings += E.what();
     }
   if (Findings.empty()) {
-    std::printf("valid: %zu files\n", A.Files.size());
+    std::printf("valid: %zu files\n", Args.Files.size());
     return 0;
   }
   std::fputs(Findings.c_str(), stderr);
   return ExitFindings;
 }
 
-int fleet(const Arguments &A) {
-  constexpr Duration Longest = std::chrono::seconds(5);
-  const Catalog C = readFleet(http::Endpoint::parse(A.Store), Longest);
-  std::printf("%s\n", (A.Json ? fleetJson(C) : fleetText(C)).c_str());
+int fleet(const Arguments &Args) {
+  constexpr Duration Timeout = std::chrono::seconds(5);
+  const Catalog C = readFleet(http::Endpoint::parse(Args.Store), Timeout);
+  std::printf("%s\n", (Args.Json ? fleetJson(C) : fleetText(C)).c_str());
   return 0;
 }
 
-// Prints what the logs say of one request; fails if they do not name it.
-int story(const Arguments &A) {
+// Prints the timeline of one request; fails if no log line has its id.
+int story(const Arguments &Args) {
   std::vector<LogLine> All;
-  for (const std::string &File : A.Files) {
+  for (const std::string &File : Args.Files) {
     const auto Lines = readLogLines(std::filesystem::path(File).stem().string(),
-                                    fileText(File));
+                                    readFile(File));
     All.insert(All.end(), Lines.begin(), Lines.end());
   }
-  const std::vector<LogLine> Story = requestStory(A.RequestId, All);
+  const std::vector<LogLine> Story = requestTimeline(Args.RequestId, All);
   nlohmann::json Objects = nlohmann::json::array();
   for (const LogLine &L : Story)
-    if (A.Json)
-      Objects.push_back({{"t", L.At}, {"process", L.Source}, {"line", L.Text}});
+    if (Args.Json)
+      Objects.push_back(
+          {{"t", L.UnixSeconds}, {"process", L.Source}, {"line", L.Text}});
     else
-      std::printf("%+8.0f ms  %-12s %s\n", (L.At - Story.front().At) * 1000,
+      std::printf("%+8.0f ms  %-12s %s\n",
+                  (L.UnixSeconds - Story.front().UnixSeconds) * 1000,
                   L.Source.c_str(), L.Text.c_str());
-  if (A.Json)
+  if (Args.Json)
     std::printf("%s\n", Objects.dump().c_str());
   if (!Story.empty())
     return 0;
-  std::fprintf(stderr, "no line names request %s\n", A.RequestId.c_str());
+  std::fprintf(stderr, "no log line has request id %s\n",
+               Args.RequestId.c_str());
   return ExitFailed;
 }
 
 } // namespace
 
 int main(int Argc, char **Argv) {
-  CLI::App App{"goldcrestlink operator's tool. Exit codes: 0 done, 1 failed, "
-               "2 findings or usage, 3 another operator was faster."};
+  CLI::App App{
+      "goldcrestlink operator's tool. Exit codes: 0 success, 1 failure or "
+      "unknown outcome, 2 findings or wrong usage, 3 conflict with "
+      "another operator."};
   App.require_subcommand(1);
-  Arguments A;
-  App.add_flag("--json", A.Json, "machine-readable output");
+  Arguments Args;
+  App.add_flag("--json", Args.Json, "machine-readable output");
   const auto AddPlatform = [&](CLI::App *Sub) {
-    Sub->add_option("--platform", A.Platform, "ip:port of the object API");
+    Sub->add_option("--platform", Args.Platform, "ip:port of the object API");
   };
   auto *Check = App.add_subcommand("check", "check a folder of declarations");
-  auto *Diff = App.add_subcommand("diff", "compare a folder with what is in "
-                                          "force");
-  auto *Apply = App.add_subcommand("apply", "apply a folder as a whole");
+  auto *Diff = App.add_subcommand("diff", "compare a folder with the "
+                                          "configuration in force");
+  auto *Apply = App.add_subcommand(
+      "apply", "apply all declarations of a folder atomically");
   for (auto *Sub : {Check, Diff, Apply})
-    Sub->add_option("folder", A.Folder, "folder of .ini files")->required();
+    Sub->add_option("folder", Args.Folder, "folder of .ini files")->required();
   AddPlatform(Diff);
   AddPlatform(Apply);
-  Apply->add_option("--if-generation", A.IfGeneration,
+  Apply->add_option("--if-generation", Args.IfGeneration,
                     "apply only if this generation is in force");
   auto *Status = App.add_subcommand(
-      "status", "state of all cells, or of the processes named");
+      "status", "show the state of all cells, or of the processes given");
   AddPlatform(Status);
-  Status->add_option("--process", A.Processes, "ip:port of a process's HTTP");
-  auto *Explain = App.add_subcommand("explain", "where a request would go");
-  Explain->add_option("--process", A.Processes, "ip:port of an entry's HTTP")
+  Status->add_option("--process", Args.Processes,
+                     "ip:port of a process's HTTP server");
+  auto *Explain = App.add_subcommand(
+      "explain", "show where an entry would route a request");
+  Explain
+      ->add_option("--process", Args.Processes,
+                   "ip:port of an entry's HTTP server")
       ->required();
-  Explain->add_option("model", A.Model, "adapter@version")->required();
+  Explain->add_option("model", Args.Model, "adapter@version")->required();
   auto *Settings =
       App.add_subcommand("check-settings", "check settings files of processes");
-  Settings->add_option("file", A.Files)->required();
+  Settings->add_option("file", Args.Files)->required();
   auto *Fleet = App.add_subcommand(
-      "fleet", "what the platform's store says of routes and upstreams");
-  Fleet->add_option("--store", A.Store, "ip:port of the platform's store");
-  auto *Story =
-      App.add_subcommand("story", "what logs say of one request, in order");
-  Story->add_option("--request", A.RequestId, "its Request-Id")->required();
-  Story->add_option("log", A.Files, "log files of processes")->required();
+      "fleet", "list routes and upstreams from the platform's store");
+  Fleet->add_option("--store", Args.Store, "ip:port of the platform's store");
+  auto *Story = App.add_subcommand(
+      "story", "show the log lines about one request, sorted by time");
+  Story->add_option("--request", Args.RequestId, "Request-Id of the request")
+      ->required();
+  Story->add_option("log", Args.Files, "log files of processes")->required();
   try {
     App.parse(Argc, Argv);
   } catch (const CLI::ParseError &E) {
@@ -265,20 +285,21 @@
   }
   try {
     if (Check->parsed())
-      return check(A);
+      return check(Args);
     if (Diff->parsed())
-      return diff(A);
+      return diff(Args);
     if (Apply->parsed())
-      return apply(A);
+      return apply(Args);
     if (Status->parsed())
-      return A.Processes.empty() ? cellStatus(A) : page(A, "/status");
+      return Args.Processes.empty() ? cellStatus(Args)
+                                    : printPages(Args, "/status");
     if (Settings->parsed())
-      return checkSettings(A);
+      return checkSettings(Args);
     if (Fleet->parsed())
-      return fleet(A);
+      return fleet(Args);
     if (Story->parsed())
-      return story(A);
-    return page(A, "/explain?model=" + A.Model);
+      return story(Args);
+    return printPages(Args, "/explain?model=" + Args.Model);
   } catch (const FindingError &E) {
     std::fputs(E.what(), stderr);
     return ExitFindings;
--- a/cli/request_story.cc
+++ b/cli/request_story.cc
@@ -1,6 +1,8 @@
-// Two passes: the first finds the lines that name the request, with the asks
-// and the adapter in them; the second adds the lines of those. Asks are
-// numbered from a random start in each entry, so that a number names one ask.
+// Two passes over all lines: the first finds the lines with the request's id
+// and collects the admission requests and adapters that they name; the second
+// adds the lines about these. Each entry numbers its admission requests from a
+// random start, so that a number identifies one admission request across
+// entries.
 #include "cli/request_story.h"
 
 #include <algorithm>
@@ -13,7 +15,7 @@
 
 constexpr std::string_view TimeKey = " t=";
 
-// "model/adapter" as sides write it; empty without an adapter.
+// "model/adapter" as sides log it; empty if the line names no adapter or model.
 std::string adapterOf(const LogLine &L) {
   const std::string_view Model = L.field("model");
   const std::string_view Adapter = L.field("adapter");
@@ -22,7 +24,7 @@
   return std::string(Model) + "/" + std::string(Adapter);
 }
 
-bool concernsAdapter(const LogLine &L) {
+bool isAdapterEvent(const LogLine &L) {
   return L.event() == "load" || L.event() == "evict" || L.event() == "order";
 }
 
@@ -55,14 +57,14 @@
     const std::string_view Line = Text.substr(0, End);
     Text.remove_prefix(End == std::string_view::npos ? Text.size() : End + 1);
     const size_t Found = Line.find(TimeKey);
-    const size_t At = Line.starts_with(TimeKey.substr(1))
-                          ? TimeKey.size() - 1
-                          : Found + TimeKey.size();
-    if (Found == std::string_view::npos && At != TimeKey.size() - 1)
+    const size_t TimeStart = Line.starts_with(TimeKey.substr(1))
+                                 ? TimeKey.size() - 1
+                                 : Found + TimeKey.size();
+    if (Found == std::string_view::npos && TimeStart != TimeKey.size() - 1)
       continue;
     LogLine L;
-    const auto [Rest, Error] =
-        std::from_chars(Line.data() + At, Line.data() + Line.size(), L.At);
+    const auto [Rest, Error] = std::from_chars(
+        Line.data() + TimeStart, Line.data() + Line.size(), L.UnixSeconds);
     if (Error != std::errc() || Rest == Line.data() + Line.size() ||
         *Rest != ' ')
       continue;
@@ -73,39 +75,42 @@
   return Out;
 }
 
-std::vector<LogLine> requestStory(std::string_view RequestId,
-                                  std::span<const LogLine> All) {
+std::vector<LogLine> requestTimeline(std::string_view RequestId,
+                                     std::span<const LogLine> All) {
   std::vector<LogLine> Out;
-  std::set<std::string> Asks;
+  std::set<std::string> AdmissionIds;
   std::set<std::string> Adapters;
   for (const LogLine &L : All) {
     if (L.field("id") != RequestId)
       continue;
     Out.push_back(L);
-    if (const std::string_view Ask = L.field("ask"); !Ask.empty())
-      Asks.emplace(Ask);
+    if (const std::string_view Admission = L.field("ask"); !Admission.empty())
+      AdmissionIds.emplace(Admission);
     if (std::string Adapter = adapterOf(L); !Adapter.empty())
       Adapters.insert(std::move(Adapter));
   }
   if (Out.empty())
     return Out;
   const auto [First, Last] = std::minmax_element(
-      Out.begin(), Out.end(),
-      [](const LogLine &A, const LogLine &B) { return A.At < B.At; });
-  const double Begin = First->At;
-  const double End = Last->At;
+      Out.begin(), Out.end(), [](const LogLine &A, const LogLine &B) {
+        return A.UnixSeconds < B.UnixSeconds;
+      });
+  const double Begin = First->UnixSeconds;
+  const double End = Last->UnixSeconds;
   for (const LogLine &L : All) {
     if (!L.field("id").empty())
       continue;
-    const bool OfAsk = Asks.contains(std::string(L.field("ask")));
-    const bool OfAdapter = concernsAdapter(L) && L.At >= Begin && L.At <= End &&
+    const bool IsAdmission = AdmissionIds.contains(std::string(L.field("ask")));
+    const bool IsAdapter = isAdapterEvent(L) && L.UnixSeconds >= Begin &&
+                           L.UnixSeconds <= End &&
                            Adapters.contains(std::string(L.field("adapter")));
-    if (OfAsk || OfAdapter)
+    if (IsAdmission || IsAdapter)
       Out.push_back(L);
   }
-  std::stable_sort(
-      Out.begin(), Out.end(),
-      [](const LogLine &A, const LogLine &B) { return A.At < B.At; });
+  std::stable_sort(Out.begin(), Out.end(),
+                   [](const LogLine &A, const LogLine &B) {
+                     return A.UnixSeconds < B.UnixSeconds;
+                   });
   return Out;
 }
 
--- a/cli/request_story.h
+++ b/cli/request_story.h
@@ -1,9 +1,10 @@
-// One request's story out of the logs of several processes: the lines that name
-// it, the lines of sides about the asks that were made for it, and what its
-// adapter went through meanwhile, in the order of their time.
+// Collects the timeline of one request from the logs of several processes: the
+// lines with its id, the lines of sides about its admission requests, and the
+// load, eviction and order events of its adapter during the request, sorted by
+// time.
 //
 //   std::vector<LogLine> Lines = readLogLines("entry-1", Text);
-//   for (const LogLine &L : requestStory("r17", AllLines)) ...
+//   for (const LogLine &L : requestTimeline("r17", Lines)) ...
 #ifndef GOLDCRESTLINK_CLI_REQUEST_STORY_H
 #define GOLDCRESTLINK_CLI_REQUEST_STORY_H
 
@@ -14,29 +15,30 @@
 
 namespace goldcrestlink {
 
-/// One line as a process wrote it.
+/// One line of a decision log.
 struct LogLine {
   /// Seconds since the Unix epoch, to the millisecond.
-  double At = 0;
-  /// The process, or the file that the line is from.
+  double UnixSeconds = 0;
+  /// Name of the process or of the log file.
   std::string Source;
-  /// From the event's word on, without prefix and time.
+  /// The line from the event name on, without logger prefix and time.
   std::string Text;
 
-  /// The value of "key=value"; empty if the line has none. Quoted values are
-  /// cut at their first space.
+  /// The value of "key=value"; empty if the line has no such key. Quoted values
+  /// are cut at their first space.
   std::string_view field(std::string_view Key) const;
-  /// The first word.
+  /// The event name, which is the first word of the line.
   std::string_view event() const;
 };
 
-/// The decision lines of \p Text; others are left out. Thread-safe.
+/// Parses the decision lines of \p Text; other lines are skipped. Thread-safe.
 std::vector<LogLine> readLogLines(const std::string &Source,
                                   std::string_view Text);
 
-/// Empty if no line names the request. Thread-safe.
-std::vector<LogLine> requestStory(std::string_view RequestId,
-                                  std::span<const LogLine> All);
+/// The request's lines of \p All, sorted by time; empty if no line has its id.
+/// Thread-safe.
+std::vector<LogLine> requestTimeline(std::string_view RequestId,
+                                     std::span<const LogLine> All);
 
 } // namespace goldcrestlink
 
--- a/cli/testing/cli_test.cc
+++ b/cli/testing/cli_test.cc
@@ -1,5 +1,5 @@
-// The tool's parts: a request's story out of several logs, and what the store
-// says of a deployment.
+// Tests of the operators' tool: the timeline of a request from several logs,
+// and the view of a deployment as the platform's store holds it.
 #include <doctest/doctest.h>
 
 #include "cli/fleet_view.h"
@@ -11,7 +11,7 @@
 
 namespace {
 
-// As processes write them, each with the prefix of its logger.
+// Log lines as processes write them, with and without the prefix of the logger.
 const char *EntryLog =
     "I1 1 x.cc:1] t=100.000 start instance=entry-1 role=entry\n"
     "I1 1 x.cc:1] t=100.100 wait id=r1 route=s model=m adapter=a1 upstream=e0 "
@@ -28,27 +28,28 @@
     "I1 1 x.cc:1] t=bad refuse ask=77\n"
     "I1 1 x.cc:1] t=101.000 evict adapter=m/a1 for=room\n";
 
-std::vector<std::string> story(std::string_view Id) {
+std::vector<std::string> timelineEvents(std::string_view Id) {
   std::vector<LogLine> All = readLogLines("entry-1", EntryLog);
   const std::vector<LogLine> Side = readLogLines("side-1", SideLog);
   All.insert(All.begin(), Side.begin(), Side.end());
   std::vector<std::string> Out;
-  for (const LogLine &L : requestStory(Id, All))
+  for (const LogLine &L : requestTimeline(Id, All))
     Out.push_back(L.Source + " " + std::string(L.event()));
   return Out;
 }
 
 } // namespace
 
-TEST_CASE("a request's story has its lines, its asks and its adapter") {
-  CHECK(story("r1") == std::vector<std::string>{"entry-1 wait", "side-1 load",
-                                                "side-1 refuse",
-                                                "entry-1 end"});
-  CHECK(story("r2") == std::vector<std::string>{"entry-1 send"});
-  CHECK(story("r").empty());
+TEST_CASE("a request's timeline has its own lines, its admission requests and "
+          "its adapter's events") {
+  CHECK(timelineEvents("r1") ==
+        std::vector<std::string>{"entry-1 wait", "side-1 load", "side-1 refuse",
+                                 "entry-1 end"});
+  CHECK(timelineEvents("r2") == std::vector<std::string>{"entry-1 send"});
+  CHECK(timelineEvents("r").empty());
 }
 
-TEST_CASE("the deployment as the store has it") {
+TEST_CASE("the deployment view shows what the store holds") {
   testing::PlatformStandIn Platform;
   Platform.putConfig(3, true);
   Platform.addEngine("e0", "127.0.0.1",
@@ -69,7 +70,7 @@
   CHECK(fleetJson(C).find("\"upstream\":\"e0\"") != std::string::npos);
 }
 
-TEST_CASE("a store that does not answer") {
+TEST_CASE("reading the deployment fails if the store does not answer") {
   testing::PlatformStandIn Platform;
   Platform.setStoreDown(true);
   CHECK_THROWS_AS(readFleet(Platform.store(), std::chrono::milliseconds(50)),
