--- a/bench/capacity.cc
+++ b/bench/capacity.cc
@@ -1,6 +1,7 @@
-// Measures the slopes that docs/CAPACITY.md is worked out from: processor
-// time, memory and bytes per adapter declared, per side known, per request,
-// per configuration change, per permit and per lease. Each from three sizes.
+// Measures the unit costs from which docs/CAPACITY.md extrapolates: processor
+// time, memory and bytes per declared adapter, per known side, per request, per
+// configuration change, per permit and per lease. Each cost that depends on a
+// size is measured at three sizes, so that its growth can be seen.
 //
 //   build/capacity
 #include <cstdio>
@@ -36,8 +37,8 @@
   return Out;
 }
 
-std::vector<DeclarationFile> files(size_t Engines, size_t Adapters,
-                                   size_t Changed = 0) {
+std::vector<DeclarationFile> declarationFiles(size_t Engines, size_t Adapters,
+                                              size_t Changed = 0) {
   std::string Text;
   for (size_t I = 0; I < Adapters; ++I)
     Text += "[adapter stave-scribe-" + std::to_string(I) +
@@ -48,7 +49,8 @@
 
 std::shared_ptr<const Declarations> parse(size_t Engines, size_t Adapters) {
   FindingList Findings;
-  auto D = Declarations::parse(files(Engines, Adapters), 1, Findings);
+  auto D =
+      Declarations::parse(declarationFiles(Engines, Adapters), 1, Findings);
   if (!Findings.empty())
     throw FindingError(Findings);
   return D;
@@ -62,51 +64,54 @@
   return Resident * static_cast<double>(::sysconf(_SC_PAGESIZE)) / 1e6;
 }
 
-double microsOf(const std::function<void()> &Do, int Times) {
+double microsPerCall(const std::function<void()> &Do, int Times) {
   const Time Start = presentTime().Steady;
   for (int I = 0; I < Times; ++I)
     Do();
   return 1e6 * seconds(presentTime().Steady - Start) / Times;
 }
 
-void declarations() {
+void measureDeclarations() {
   std::printf("declarations: adapters, ms to check and build, MB held, chunks, "
               "mean chunk bytes, head bytes, chunks moved by one change\n");
   for (const size_t Adapters : {5000, 15000, 45000}) {
     const double Before = residentMb();
-    std::shared_ptr<const Declarations> D;
-    const double Micros = microsOf([&] { D = parse(80, Adapters); }, 3);
+    std::shared_ptr<const Declarations> Parsed;
+    const double Micros =
+        microsPerCall([&] { Parsed = parse(80, Adapters); }, 3);
     const double Held = residentMb() - Before;
-    const Bundle B = packBundle(files(80, Adapters), 1);
-    const Bundle C = packBundle(files(80, Adapters, Adapters / 2), 2);
+    const Bundle Original = packBundle(declarationFiles(80, Adapters), 1);
+    const Bundle Changed =
+        packBundle(declarationFiles(80, Adapters, Adapters / 2), 2);
     size_t Moved = 0;
     size_t MovedBytes = 0;
     size_t Bytes = 0;
-    for (const auto &[Hash, Data] : B.Chunks)
+    for (const auto &[Hash, Data] : Original.Chunks)
       Bytes += Data.size();
-    for (const auto &[Hash, Data] : C.Chunks)
-      if (!B.Chunks.count(Hash)) {
+    for (const auto &[Hash, Data] : Changed.Chunks)
+      if (!Original.Chunks.count(Hash)) {
         ++Moved;
         MovedBytes += Data.size();
       }
     std::printf("  %6zu %8.1f %7.1f %6zu %8zu %8zu %4zu (%zu bytes)\n",
-                Adapters, Micros / 1000, Held, B.Chunks.size(),
-                Bytes / B.Chunks.size(), B.Head.text().size(), Moved,
-                MovedBytes);
+                Adapters, Micros / 1000, Held, Original.Chunks.size(),
+                Bytes / Original.Chunks.size(), Original.Head.text().size(),
+                Moved, MovedBytes);
   }
 }
 
-// What a process spends on a change of one adapter.
-void changes() {
+// Measures the time that a process needs to activate a configuration in which
+// one adapter has changed.
+void measureConfigChange() {
   std::printf(
       "one changed adapter: adapters, ms to read the chunk and build\n");
   for (const size_t Adapters : {5000, 15000, 45000}) {
     ConfigReplica R;
     uint64_t Generation = 0;
-    const auto One = [&] {
+    const auto ApplyChange = [&] {
       ++Generation;
-      const Bundle B =
-          packBundle(files(80, Adapters, 1 + Generation * 7), Generation);
+      const Bundle B = packBundle(
+          declarationFiles(80, Adapters, 1 + Generation * 7), Generation);
       R.offerHead(B.Head.text());
       for (const std::string &Hash : R.missing())
         R.addChunk(Hash, B.Chunks.at(Hash));
@@ -115,29 +120,30 @@
       R.takeReady(Findings);
       return seconds(presentTime().Steady - Start);
     };
-    One();
+    ApplyChange();
     double Sum = 0;
     constexpr int Times = 5;
     for (int I = 0; I < Times; ++I)
-      Sum += One();
+      Sum += ApplyChange();
     std::printf("  %6zu %7.1f\n", Adapters, 1000 * Sum / Times);
   }
 }
 
-// A whole fleet with as many adapters as the target has: the first apply, and
-// one adapter added, until every process has it.
-void applies(const std::string &Programs) {
+// Starts a deployment with as many adapters as the capacity target, then
+// measures how long it takes until one added adapter is in force at every
+// process.
+void measureApply(const std::string &Programs) {
   testing::FleetShape Shape;
   Shape.Engines = 4;
   Shape.Adapters = 45000;
-  testing::Fleet F(Shape, Programs, "/tmp/goldcrestlink-capacity");
-  F.start();
+  testing::Fleet Fleet(Shape, Programs, "/tmp/goldcrestlink-capacity");
+  Fleet.start();
   for (uint64_t Generation = 2; Generation <= 4; ++Generation) {
-    ++F.Shape.Adapters;
+    ++Fleet.Shape.Adapters;
     const Time Start = presentTime().Steady;
-    F.apply();
+    Fleet.apply();
     const Time Applied = presentTime().Steady;
-    while (!F.generationInForce(Generation))
+    while (!Fleet.generationInForce(Generation))
       testing::pauseFor(5);
     std::printf("45,000 adapters, one added: tool %.2f s, then in force at "
                 "all processes after %.2f s\n",
@@ -146,28 +152,28 @@
   }
 }
 
-Now at(int64_t Micros) {
+Now timeAt(int64_t Micros) {
   return {Time(Duration(1000000 + Micros)), WallTime(Duration(1000000))};
 }
 
-void entryRequests() {
+void measureEntryRequests() {
   std::printf("entry: sides known, us per request routed and ended, KB held "
               "per side\n");
   for (const size_t Sides : {20, 80, 320}) {
     const auto D = parse(Sides, 1000);
     const double Before = residentMb();
-    entry::EntryMachine M(entry::EntryMachine::Options().setStrategy(
-                              *findChoiceStrategy("consistent_hash")),
-                          D, "d", 1);
+    entry::EntryMachine Machine(entry::EntryMachine::Options().setStrategy(
+                                    *findChoiceStrategy("consistent_hash")),
+                                D, "d", 1);
     int64_t Clock = 0;
-    const auto One = [&] {
-      const Now N = at(Clock += 100);
+    const auto RunRequest = [&] {
+      const Now RequestTime = timeAt(Clock += 100);
       entry::CallerRequest R;
       R.Id = "r" + std::to_string(Clock);
       R.Adapter = "stave-scribe-" + std::to_string(Clock / 100 % 1000);
       R.Version = "1";
       entry::Actions Out;
-      M.onRequest(N, R, Out);
+      Machine.onRequest(RequestTime, R, Out);
       for (const entry::Action &A : entry::Actions(Out))
         if (const auto *S = std::get_if<entry::SendSide>(&A)) {
           wire::Envelope E;
@@ -176,20 +182,21 @@
           E.mutable_event()->set_status(200);
           for (uint64_t H = 0; H < 8; ++H)
             E.mutable_event()->mutable_state()->add_resident(H);
-          M.onEnvelope(N, S->Upstream, E, Out);
+          Machine.onEnvelope(RequestTime, S->Upstream, E, Out);
         }
     };
-    const double Micros = microsOf(One, 20000);
+    const double Micros = microsPerCall(RunRequest, 20000);
     std::printf("  %4zu %7.2f %7.2f\n", Sides, Micros,
                 1000 * (residentMb() - Before) / static_cast<double>(Sides));
   }
 }
 
-void sideRequests() {
-  std::printf("side: waiting attempts, us per attempt admitted and refused "
-              "again by cancel\n");
+void measureSideRequests() {
+  std::printf("side: waiting attempts, us to admit and cancel one "
+              "attempt\n");
   for (const int Waiting : {10, 100, 400}) {
-    side::SideMachine M(side::SideMachine::Options(), parse(1, 1000), "e0", 1);
+    side::SideMachine Machine(side::SideMachine::Options(), parse(1, 1000),
+                              "e0", 1);
     int64_t Serial = 0;
     const auto Admit = [&](const std::string &Id) {
       wire::Envelope E;
@@ -204,45 +211,47 @@
       A.set_target_left_us(90000000);
       A.set_max_tokens(1);
       side::Actions Out;
-      M.onEnvelope(at(1), "p", E, Out);
+      Machine.onEnvelope(timeAt(1), "p", E, Out);
     };
     for (int I = 0; I < Waiting; ++I)
       Admit("w" + std::to_string(++Serial));
-    const auto One = [&] {
+    const auto AdmitAndCancel = [&] {
       const std::string Id = "x" + std::to_string(++Serial);
       Admit(Id);
       wire::Envelope E;
       E.mutable_cancel()->set_attempt_id(Id);
       side::Actions Out;
-      M.onEnvelope(at(2), "p", E, Out);
+      Machine.onEnvelope(timeAt(2), "p", E, Out);
     };
-    std::printf("  %4d %8.2f\n", Waiting, microsOf(One, 500));
+    std::printf("  %4d %8.2f\n", Waiting, microsPerCall(AdmitAndCancel, 500));
   }
 }
 
-void permits() {
-  std::printf("broker: wishes waiting, us per permit granted\n");
-  for (const uint64_t Wishes : {100, 1000, 4000}) {
-    LoadBroker B(
+void measurePermits() {
+  std::printf("broker: load requests waiting, us per permit granted\n");
+  for (const uint64_t RequestCount : {100, 1000, 4000}) {
+    LoadBroker Broker(
         LoadBroker::Options().setRate(1e6).setBurst(1).setMaxInFlight(1000000),
         {0.3, 0.2});
     int64_t Clock = 0;
-    for (uint64_t I = 0; I < Wishes; ++I)
-      B.request(at(Clock).Steady,
-                {"s" + std::to_string(I % 80), I, I % 2, 1, true, {}, {}});
-    const auto One = [&] {
+    for (uint64_t I = 0; I < RequestCount; ++I)
+      Broker.request(timeAt(Clock).Steady,
+                     {"s" + std::to_string(I % 80), I, I % 2, 1, true, {}, {}});
+    const auto GrantPermits = [&] {
       Clock += 1;
-      for (const PermitWish &W : B.grant(at(Clock).Steady)) {
-        B.release(at(Clock).Steady, W.Side, W.Adapter, true);
-        B.request(at(Clock).Steady, W);
+      for (const PermitWish &Granted : Broker.grant(timeAt(Clock).Steady)) {
+        Broker.release(timeAt(Clock).Steady, Granted.Side, Granted.Adapter,
+                       true);
+        Broker.request(timeAt(Clock).Steady, Granted);
       }
     };
-    std::printf("  %5llu %8.2f\n", static_cast<unsigned long long>(Wishes),
-                microsOf(One, 200));
+    std::printf("  %5llu %8.2f\n",
+                static_cast<unsigned long long>(RequestCount),
+                microsPerCall(GrantPermits, 200));
   }
 }
 
-void leases() {
+void measureLeases() {
   std::printf("shard table: members, bytes, us per renewal\n");
   for (const size_t Members : {3, 20, 80}) {
     wire::ShardTable Table;
@@ -253,28 +262,30 @@
                            .setDeclaredMembers(Members),
                        "side-" + std::to_string(I), I + 1);
       ShardEffects Out;
-      All.back().plan(at(0).Steady, Table, Out);
-      All.back().onWritten(at(0).Steady, at(0).Steady, Table, Out);
+      All.back().plan(timeAt(0).Steady, Table, Out);
+      All.back().onWritten(timeAt(0).Steady, timeAt(0).Steady, Table, Out);
     }
     size_t Turn = 0;
-    const auto One = [&] {
+    const auto RenewLease = [&] {
       ShardLease &L = All[++Turn % Members];
       ShardEffects Out;
-      L.plan(at(1000).Steady, Table, Out);
-      L.onWritten(at(1000).Steady, at(1000).Steady, Table, Out);
+      L.plan(timeAt(1000).Steady, Table, Out);
+      L.onWritten(timeAt(1000).Steady, timeAt(1000).Steady, Table, Out);
     };
-    const double Micros = microsOf(One, 500);
+    const double Micros = microsPerCall(RenewLease, 500);
     std::printf("  %3zu %6zu %7.2f\n", Members,
                 Table.SerializeAsString().size(), Micros);
   }
 }
 
-size_t framed(wire::Envelope E) {
+// Size of a message on the wire, with a typical generation and two bytes of
+// framing.
+size_t framedSize(wire::Envelope E) {
   E.set_generation(123456);
   return wire::Envelope(E).ByteSizeLong() + 2;
 }
 
-void messages() {
+void printMessageSizes() {
   std::printf("message bytes: ");
   wire::Envelope Poll;
   Poll.mutable_config_request();
@@ -299,12 +310,13 @@
   Permit.mutable_permit_request()->set_priority(2);
   Permit.mutable_permit_request()->set_waiting(3);
   std::printf("poll %zu, probe %zu, probe reply %zu, permit request %zu\n",
-              framed(Poll), framed(Probe), framed(Reply), framed(Permit));
+              framedSize(Poll), framedSize(Probe), framedSize(Reply),
+              framedSize(Permit));
 }
 
-// What processes use while no caller asks anything: timers, polls, checks of
-// the upstream, leases.
-void idleProcesses(const std::string &Programs) {
+// Measures the processor time of processes without requests: timers, polls,
+// health checks of upstreams, and leases.
+void measureIdleProcesses(const std::string &Programs) {
   constexpr int Seconds = 20;
   std::printf("idle: engine sides in the cell, %% of a core per entry, per "
               "engine side, per service side\n");
@@ -312,8 +324,8 @@
     testing::FleetShape Shape;
     Shape.Engines = Engines;
     Shape.Adapters = 3000;
-    testing::Fleet F(Shape, Programs, "/tmp/goldcrestlink-capacity");
-    F.start();
+    testing::Fleet Fleet(Shape, Programs, "/tmp/goldcrestlink-capacity");
+    Fleet.start();
     testing::pauseFor(3000);
     const auto Used = [](const std::vector<testing::Member> &Group) {
       double Sum = 0;
@@ -321,16 +333,17 @@
         Sum += M.Running->processorSeconds();
       return Sum / static_cast<double>(Group.size());
     };
-    const double Before[] = {Used(F.Entries), Used(F.EngineSides),
-                             Used(F.ServiceSides)};
+    const double Before[] = {Used(Fleet.Entries), Used(Fleet.EngineSides),
+                             Used(Fleet.ServiceSides)};
     testing::pauseFor(Seconds * 1000);
-    const double After[] = {Used(F.Entries), Used(F.EngineSides),
-                            Used(F.ServiceSides)};
+    const double After[] = {Used(Fleet.Entries), Used(Fleet.EngineSides),
+                            Used(Fleet.ServiceSides)};
     std::printf("  %3zu", Engines);
     for (size_t I = 0; I < 3; ++I)
       std::printf(" %5.2f", 100 * (After[I] - Before[I]) / Seconds);
     std::printf("\n  platform calls so far:");
-    std::istringstream Counts(F.admin(F.Platform.Http, "/admin/counts", "GET"));
+    std::istringstream Counts(
+        Fleet.admin(Fleet.Platform.Http, "/admin/counts", "GET"));
     for (std::string Line; std::getline(Counts, Line);)
       std::printf(" %s;", Line.c_str());
     std::printf("\n");
@@ -341,13 +354,13 @@
 
 int main(int Argc, char **Argv) {
   const std::string Programs = Argc > 1 ? Argv[1] : "build";
-  declarations();
-  changes();
-  entryRequests();
-  sideRequests();
-  permits();
-  leases();
-  messages();
-  applies(Programs);
-  idleProcesses(Programs);
+  measureDeclarations();
+  measureConfigChange();
+  measureEntryRequests();
+  measureSideRequests();
+  measurePermits();
+  measureLeases();
+  printMessageSizes();
+  measureApply(Programs);
+  measureIdleProcesses(Programs);
 }
--- a/bench/overhead.cc
+++ b/bench/overhead.cc
@@ -1,10 +1,11 @@
-// What the path itself costs: the same whole completion calls straight to an
-// engine stand-in, and through one entry process and the sides, in one run.
+// Measures the overhead of entry and sides: the same completion requests are
+// sent directly to engine stand-ins and through one entry process and the
+// sides, in one run. Answers are not streamed.
 //
 //   build/overhead --seconds 5
 //
-// Callers are threads with kept-alive connections that send one call after
-// another; latency is taken with few of them, throughput with many.
+// Caller threads send one request after another on each of their persistent
+// connections. Latency is measured with few connections, throughput with many.
 #include <atomic>
 #include <cstdio>
 #include <mutex>
@@ -21,13 +22,13 @@
 
 namespace {
 
-struct Load {
+struct LoadProfile {
   size_t Threads = 2;
   size_t Connections = 4;
   double Seconds = 5;
 };
 
-struct Measured {
+struct Measurement {
   double PerSecond = 0;
   double P50Ms = 0;
   double P99Ms = 0;
@@ -36,9 +37,9 @@
 
 class CallerThread {
 public:
-  CallerThread(const std::vector<http::Endpoint> &InTo, size_t InConnections,
-               double Seconds)
-      : To(InTo), Client(Io), Connections(InConnections),
+  CallerThread(const std::vector<http::Endpoint> &InTargets,
+               size_t InConnections, double Seconds)
+      : Targets(InTargets), Client(Io), Connections(InConnections),
         Until(presentTime().Steady + fromSeconds(Seconds)) {}
 
   void run() {
@@ -61,7 +62,7 @@
     R.Fields = {{"Content-Type", "application/json"}};
     R.Body = R"({"model":"a)" + std::to_string(I % 8) +
              R"(@1","prompt":"how are the hoops?","max_tokens":8})";
-    Client.fetch(To[I % To.size()], std::move(R), http::CallOptions(),
+    Client.fetch(Targets[I % Targets.size()], std::move(R), http::CallOptions(),
                  [this, I, Sent](const http::Response *A, http::CallError) {
                    if (A && A->Head.Status == 200)
                      Millis.push_back(1000 *
@@ -72,24 +73,25 @@
                  });
   }
 
-  std::vector<http::Endpoint> To;
+  std::vector<http::Endpoint> Targets;
   boost::asio::io_context Io{1};
   http::Client Client;
   size_t Connections;
   Time Until;
 };
 
-Measured measure(const std::vector<http::Endpoint> &To, const Load &L) {
+Measurement measure(const std::vector<http::Endpoint> &Targets,
+                    const LoadProfile &L) {
   std::vector<std::unique_ptr<CallerThread>> Callers;
   std::vector<std::thread> Threads;
   for (size_t I = 0; I < L.Threads; ++I)
     Callers.push_back(
-        std::make_unique<CallerThread>(To, L.Connections, L.Seconds));
+        std::make_unique<CallerThread>(Targets, L.Connections, L.Seconds));
   for (auto &C : Callers)
     Threads.emplace_back([&C] { C->run(); });
   for (std::thread &T : Threads)
     T.join();
-  Measured Out;
+  Measurement Out;
   std::vector<double> All;
   for (const auto &C : Callers) {
     All.insert(All.end(), C->Millis.begin(), C->Millis.end());
@@ -104,7 +106,7 @@
   return Out;
 }
 
-void show(const char *What, const Measured &M) {
+void printMeasurement(const char *What, const Measurement &M) {
   std::printf("%-34s %8.0f/s  p50 %.3f ms  p99 %.3f ms  failed %zu\n", What,
               M.PerSecond, M.P50Ms, M.P99Ms, M.Failed);
 }
@@ -112,18 +114,21 @@
 } // namespace
 
 int main(int Argc, char **Argv) {
-  CLI::App App{"the cost of the path itself"};
+  CLI::App App{"measure the overhead of entry and sides"};
   std::string Programs = "build";
   double Seconds = 5;
-  size_t Many = 64;
+  size_t ManyConnections = 64;
   testing::FleetShape Shape;
   Shape.Engines = 4;
   Shape.TrafficThreads = 4;
   App.add_option("--programs", Programs, "folder of the built programs");
   App.add_option("--seconds", Seconds, "length of each measurement");
-  App.add_option("--engines", Shape.Engines, "engines and sides");
-  App.add_option("--threads", Shape.TrafficThreads, "entry's traffic threads");
-  App.add_option("--connections", Many, "connections per caller thread");
+  App.add_option("--engines", Shape.Engines,
+                 "number of engines, each with a side");
+  App.add_option("--threads", Shape.TrafficThreads,
+                 "traffic threads of the entry");
+  App.add_option("--connections", ManyConnections,
+                 "connections per caller thread");
   CLI11_PARSE(App, Argc, Argv);
   Shape.Services = 1;
   Shape.Entries = 1;
@@ -137,10 +142,10 @@
     testing::Fleet F(Shape, Programs, "/tmp/goldcrestlink-overhead");
     F.start();
     const std::vector<http::Endpoint> Entry = {F.Entries[0].Http};
-    const Load Few{2, 4, Seconds};
-    const Load Full{2, Many, Seconds};
-    // Load every adapter where the entry puts it, and in the first engine
-    // for the direct calls.
+    const LoadProfile LowLoad{2, 4, Seconds};
+    const LoadProfile HighLoad{2, ManyConnections, Seconds};
+    // Warm-up: loads every adapter at an engine that the entry chooses. The
+    // direct calls need every adapter at every engine, which is loaded below.
     measure(Entry, {1, 8, 2});
     std::vector<http::Endpoint> Direct;
     for (const auto &E : F.Engines)
@@ -150,31 +155,34 @@
         F.admin(E.Http, "/v1/load_lora_adapter", "POST",
                 R"({"lora_name":"a)" + std::to_string(I) + R"(@1","slot":)" +
                     std::to_string(I) + "}");
-    const Measured DirectFew = measure(Direct, Few);
-    show("direct, 8 connections", DirectFew);
-    measure(Entry, {1, 8, 3}); // Sides find their slots changed and settle.
-    const Measured PathFew = measure(Entry, Few);
-    show("through the path, 8 connections", PathFew);
+    const Measurement DirectLatency = measure(Direct, LowLoad);
+    printMeasurement("direct, 8 connections", DirectLatency);
+    // Lets the sides detect that the slots of their engines have changed,
+    // before the next measurement.
+    measure(Entry, {1, 8, 3});
+    const Measurement PathLatency = measure(Entry, LowLoad);
+    printMeasurement("entry and side, 8 connections", PathLatency);
     std::printf("added p50 %.3f ms, p99 %.3f ms\n",
-                PathFew.P50Ms - DirectFew.P50Ms,
-                PathFew.P99Ms - DirectFew.P99Ms);
-    show("direct, many connections", measure(Direct, Full));
+                PathLatency.P50Ms - DirectLatency.P50Ms,
+                PathLatency.P99Ms - DirectLatency.P99Ms);
+    printMeasurement("direct, many connections", measure(Direct, HighLoad));
     const double EntryBefore = F.Entries[0].Running->processorSeconds();
     double SidesBefore = 0;
     for (const auto &S : F.EngineSides)
       SidesBefore += S.Running->processorSeconds();
-    const Measured PathFull = measure(Entry, Full);
+    const Measurement PathThroughput = measure(Entry, HighLoad);
     const double EntryUsed =
         F.Entries[0].Running->processorSeconds() - EntryBefore;
     double SidesUsed = -SidesBefore;
     for (const auto &S : F.EngineSides)
       SidesUsed += S.Running->processorSeconds();
-    show("through the path, many connections", PathFull);
-    const double Requests = PathFull.PerSecond * Seconds;
-    std::printf("entry: %.1f us of processor per request, %.0f requests/s per "
-                "core; sides: %.1f us per request\n",
-                1e6 * EntryUsed / Requests, Requests / EntryUsed,
-                1e6 * SidesUsed / Requests);
+    printMeasurement("entry and side, many connections", PathThroughput);
+    const double Requests = PathThroughput.PerSecond * Seconds;
+    std::printf(
+        "entry: %.1f us of processor time per request, %.0f requests/s per "
+        "core; sides: %.1f us per request\n",
+        1e6 * EntryUsed / Requests, Requests / EntryUsed,
+        1e6 * SidesUsed / Requests);
     return 0;
   } catch (const std::exception &E) {
     std::fprintf(stderr, "%s\n", E.what());
--- a/bench/scenario.cc
+++ b/bench/scenario.cc
@@ -1,10 +1,11 @@
-// Runs one scenario against a whole fleet of real processes on loopback, with
-// the product's strategy or a baseline, and prints what callers got, what the
-// engines did, and every broken promise with its request.
+// Runs one scenario against a deployment of real processes on loopback, with
+// the strategy under test or a baseline, and prints the results of callers, the
+// counters of the engines, and every violated guarantee with its request.
 //
 //   build/scenario --name steady-90 --strategy ours --seed 1
 //
-// One thread sends and receives everything; the fleet is other processes.
+// All requests are scheduled up front as timers; one thread sends them and
+// reads all answers. The deployment runs in other processes.
 #include <algorithm>
 #include <cmath>
 #include <cstdio>
@@ -28,15 +29,18 @@
 namespace {
 
 constexpr double WarmUpSeconds = 20;
-constexpr double CountedSeconds = 60;
-constexpr double ComputeBound = 49.1;
+constexpr double MeasuredSeconds = 60;
+// Requests per second that the engines together can compute.
+constexpr double ComputeBoundPerSecond = 49.1;
+// Adapters that fit into the slots of all engines.
 constexpr size_t ResidentAdapters = 160;
 constexpr double OrdersPerSecond = 5;
+// One work order in this many is sent a second time with the same key.
 constexpr uint64_t ResendOneIn = 100;
 constexpr double ResendAfterSeconds = 2;
-// A request that has no end this long after its deadline hangs.
+// A request that has not ended this long after its deadline counts as hanging.
 constexpr double HangGraceSeconds = 5;
-constexpr std::array<double, Ranks> RankDeadline = {8, 25, 70};
+constexpr std::array<double, RankCount> RankDeadlineSeconds = {8, 25, 70};
 constexpr size_t PoisonSends = 20;
 
 struct Event {
@@ -44,7 +48,7 @@
   std::function<void()> Do;
 };
 
-struct Setup {
+struct RunOptions {
   std::string Name = "steady-50";
   std::string Strategy = "ours";
   std::string Deployment = "totara";
@@ -63,30 +67,31 @@
 
 class ScenarioRun {
 public:
-  explicit ScenarioRun(Setup InSetup)
-      : S(std::move(InSetup)), Fleet(shape(), S.Programs, S.Work), Client(Io),
-        Rand(S.Seed + 77) {}
+  explicit ScenarioRun(RunOptions InOptions)
+      : Opts(std::move(InOptions)), Fleet(shape(), Opts.Programs, Opts.Work),
+        Client(Io), Rand(Opts.Seed + 77) {}
 
   int run() {
     Spec = makeSpec();
     Fleet.start();
     Start = presentTime().Steady + fromSeconds(WarmUpSeconds);
     for (const Arrival &A :
-         makeArrivals(Spec, S.Seed, -WarmUpSeconds, CountedSeconds))
-      at(A.At, [this, A] { send(A); });
+         makeArrivals(Spec, Opts.Seed, -WarmUpSeconds, MeasuredSeconds))
+      scheduleAt(A.At, [this, A] { send(A); });
     scheduleOrders();
     scheduleEvents();
-    at(0, [this] { Seen.EngineBefore = engineCounts(); });
-    at(CountedSeconds, [this] { Seen.EngineAfter = engineCounts(); });
+    scheduleAt(0, [this] { Record.EngineCountersBefore = engineCounters(); });
+    scheduleAt(MeasuredSeconds,
+               [this] { Record.EngineCountersAfter = engineCounters(); });
     Io.run();
     report();
-    return Seen.Violations.empty() ? 0 : 1;
+    return Record.Violations.empty() ? 0 : 1;
   }
 
 private:
   testing::FleetShape shape() const {
     testing::FleetShape Shape;
-    const bool Totara = S.Deployment == "totara";
+    const bool Totara = Opts.Deployment == "totara";
     Shape.Engines = 20;
     Shape.Services = 3;
     Shape.Entries = 3;
@@ -97,70 +102,78 @@
     Shape.StoreInFlight = Totara ? 16 : 24;
     Shape.LoadFailsOneIn = 200;
     Shape.CrashDownMs = 10000;
-    Shape.Relay = S.Name == "silent";
-    Shape.Strategy = strategyText(S.Strategy);
-    Shape.Seed = S.Seed;
+    Shape.Relay = Opts.Name == "silent";
+    Shape.Strategy = strategyText(Opts.Strategy);
+    Shape.Seed = Opts.Seed;
     return Shape;
   }
 
-  double lowerBound() const {
+  // The lower of the bounds of engines and weight store, in requests per
+  // second.
+  double throughputBound() const {
     const double Share = popularShare(Spec, ResidentAdapters);
-    return std::min(ComputeBound, Fleet.Shape.StoreRate / (1 - Share));
+    return std::min(ComputeBoundPerSecond, Fleet.Shape.StoreRate / (1 - Share));
   }
 
   WorkloadSpec makeSpec() {
-    Spec.Exponent = S.Name == "skewed" ? 1.2 : 1.0;
-    static const std::map<std::string, double> Loads = {
+    Spec.ZipfExponent = Opts.Name == "skewed" ? 1.2 : 1.0;
+    static const std::map<std::string, double> RelativeLoads = {
         {"steady-50", 0.5},    {"steady-90", 0.9},  {"flood-bulk", 0.5},
         {"flood-urgent", 0.5}, {"flood-cold", 0.5}, {"over-150", 1.5},
         {"shift", 0.7},        {"skewed", 0.9},     {"poison", 0.5},
         {"silent", 0.5},       {"outage", 0.7},     {"runner-kill", 0.7},
         {"cold-start", 0.7},   {"capacity-100", 1}};
-    const auto It = Loads.find(S.Name);
-    if (It == Loads.end())
-      throw std::runtime_error("no scenario '" + S.Name + "'");
-    Spec.RequestsPerSecond = It->second * lowerBound();
-    if (S.Name == "flood-bulk")
+    const auto It = RelativeLoads.find(Opts.Name);
+    if (It == RelativeLoads.end())
+      throw std::runtime_error("no scenario '" + Opts.Name + "'");
+    Spec.RequestsPerSecond = It->second * throughputBound();
+    if (Opts.Name == "flood-bulk")
       Spec.Floods.push_back({2, 10, 15, 45, false});
-    if (S.Name == "flood-urgent")
+    if (Opts.Name == "flood-urgent")
       Spec.Floods.push_back({0, 10, 15, 45, false});
-    if (S.Name == "flood-cold")
+    if (Opts.Name == "flood-cold")
       Spec.Floods.push_back({2, 3, 15, 45, true});
-    if (S.Name == "shift")
+    if (Opts.Name == "shift")
       Spec.ShiftAt = 20;
     return Spec;
   }
 
-  void at(double Seconds, std::function<void()> Do) {
+  void scheduleAt(double Seconds, std::function<void()> Do) {
     auto Timer = std::make_shared<boost::asio::steady_timer>(Io);
     Timer->expires_at(Start + fromSeconds(Seconds));
     Timer->async_wait([Timer, Do](boost::system::error_code) { Do(); });
   }
 
-  double clock() const { return seconds(presentTime().Steady - Start); }
+  double elapsedSeconds() const {
+    return seconds(presentTime().Steady - Start);
+  }
 
   void scheduleEvents() {
-    if (S.Name == "outage") {
-      at(15,
-         [this] { Fleet.admin(Fleet.Platform.Http, "/admin/outage?on=1"); });
-      at(45,
-         [this] { Fleet.admin(Fleet.Platform.Http, "/admin/outage?on=0"); });
+    if (Opts.Name == "outage") {
+      scheduleAt(15, [this] {
+        Fleet.admin(Fleet.Platform.Http, "/admin/outage?on=1");
+      });
+      scheduleAt(45, [this] {
+        Fleet.admin(Fleet.Platform.Http, "/admin/outage?on=0");
+      });
     }
-    if (S.Name == "runner-kill")
-      at(20, [this] { crashEngine(0); });
-    if (S.Name == "cold-start")
+    if (Opts.Name == "runner-kill")
+      scheduleAt(20, [this] { crashEngine(0); });
+    if (Opts.Name == "cold-start")
       for (size_t I = 0; I < 20; ++I)
-        at(20 + 0.25 * static_cast<double>(I), [this, I] { crashEngine(I); });
-    if (S.Name == "silent")
-      at(20, [this] {
+        scheduleAt(20 + 0.25 * static_cast<double>(I),
+                   [this, I] { crashEngine(I); });
+    if (Opts.Name == "silent")
+      scheduleAt(20, [this] {
         for (size_t I = 0; I < Fleet.EngineSides.size(); I += 2)
           Fleet.admin(Fleet.Relay.Admin,
                       "/admin/silence?source=127.0.0.2&target=" +
                           Fleet.EngineSides[I].Admin.text());
       });
-    if (S.Name == "poison")
+    if (Opts.Name == "poison")
       for (size_t I = 0; I < PoisonSends; ++I)
-        at(5 + 2 * static_cast<double>(I), [this, I] { sendPoison(I); });
+        scheduleAt(5 + 2 * static_cast<double>(I),
+                   [this, I] { sendPoison(I); });
   }
 
   void crashEngine(size_t I) {
@@ -187,8 +200,9 @@
     return R;
   }
 
-  struct Reading {
-    std::shared_ptr<Result> To;
+  // The answer to one request, as received so far.
+  struct PendingAnswer {
+    std::shared_ptr<RequestResult> Result;
     std::string Body;
     std::string Type;
     Time Sent;
@@ -196,64 +210,66 @@
 
   void send(const Arrival &A) {
     const bool First = Requested.insert(A.Adapter).second;
-    Seen.FirstRequests += First && A.At >= 0 ? 1 : 0;
-    auto R = std::make_shared<Result>();
+    Record.FirstRequests += First && A.At >= 0 ? 1 : 0;
+    auto R = std::make_shared<RequestResult>();
     R->Rank = A.Rank;
-    R->At = A.At;
+    R->SentAt = A.At;
     R->Tokens = A.Tokens;
     R->Tag = "q" + std::to_string(++Counter);
     const std::string Model = "a" + std::to_string(A.Adapter) + "@1";
     start(R, completion(Model, R->Tag, "report " + R->Tag, A.Tokens, A.Rank),
           Counter % Fleet.Entries.size(), Model);
-    Seen.Results.push_back(R);
+    Record.Results.push_back(R);
   }
 
   void sendPoison(size_t I) {
-    auto R = std::make_shared<Result>();
+    auto R = std::make_shared<RequestResult>();
     R->Rank = 1;
-    R->At = clock();
+    R->SentAt = elapsedSeconds();
     R->Tokens = 5;
     R->Tag = "poison";
     start(R, completion("a1@1", "poison", "POISON", 5, 1),
           I % Fleet.Entries.size(), "a1@1");
   }
 
-  void start(const std::shared_ptr<Result> &R, http::Request Ask, size_t Entry,
-             const std::string &Model) {
-    auto Read = std::make_shared<Reading>();
-    Read->To = R;
-    Read->Sent = presentTime().Steady;
+  void start(const std::shared_ptr<RequestResult> &R, http::Request Request,
+             size_t Entry, const std::string &Model) {
+    auto Answer = std::make_shared<PendingAnswer>();
+    Answer->Result = R;
+    Answer->Sent = presentTime().Steady;
     http::CallHandlers On;
-    On.OnHead = [Read](const http::ResponseHead &Head) {
-      Read->To->Status = Head.Status;
-      Read->Type = Head.header("Content-Type");
+    On.OnHead = [Answer](const http::ResponseHead &Head) {
+      Answer->Result->Status = Head.Status;
+      Answer->Type = Head.header("Content-Type");
     };
-    On.OnData = [Read](std::string Part) {
-      if (Read->To->FirstByte < 0)
-        Read->To->FirstByte = seconds(presentTime().Steady - Read->Sent);
-      Read->Body += Part;
+    On.OnData = [Answer](std::string Part) {
+      if (Answer->Result->FirstByte < 0)
+        Answer->Result->FirstByte =
+            seconds(presentTime().Steady - Answer->Sent);
+      Answer->Body += Part;
     };
-    On.OnDone = [this, Read, Model] { finish(*Read, true, Model); };
-    On.OnError = [this, Read, Model](http::CallError, const std::string &) {
-      finish(*Read, false, Model);
+    On.OnDone = [this, Answer, Model] { finish(*Answer, true, Model); };
+    On.OnError = [this, Answer, Model](http::CallError, const std::string &) {
+      finish(*Answer, false, Model);
     };
-    Client.start(Fleet.Entries[Entry].Http, std::move(Ask),
+    Client.start(Fleet.Entries[Entry].Http, std::move(Request),
                  http::CallOptions()
-                     .setSilenceTimeout(
-                         fromSeconds(RankDeadline[R->Rank] + HangGraceSeconds))
+                     .setSilenceTimeout(fromSeconds(
+                         RankDeadlineSeconds[R->Rank] + HangGraceSeconds))
                      .setFreshConnection(true),
                  std::move(On));
   }
 
-  // Checks that the answer is whole and this request's own.
-  void finish(Reading &Read, bool Ended, const std::string &Model) {
-    Result &R = *Read.To;
+  // Records the result, and checks that the answer is complete and belongs to
+  // this request.
+  void finish(PendingAnswer &Answer, bool Ended, const std::string &Model) {
+    RequestResult &R = *Answer.Result;
     R.Ended = true;
-    R.Total = seconds(presentTime().Steady - Read.Sent);
-    if (R.Total > RankDeadline[R.Rank] + HangGraceSeconds - 1)
-      Seen.Violations.push_back("hang " + R.Tag);
+    R.Total = seconds(presentTime().Steady - Answer.Sent);
+    if (R.Total > RankDeadlineSeconds[R.Rank] + HangGraceSeconds - 1)
+      Record.Violations.push_back("hang " + R.Tag);
     if (R.Status != 200) {
-      const auto Json = nlohmann::json::parse(Read.Body, nullptr, false);
+      const auto Json = nlohmann::json::parse(Answer.Body, nullptr, false);
       if (Json.is_object() && Json.contains("error")) {
         R.Code = Json["error"].value("code", "");
         R.Outcome = Json["error"].value("outcome", "");
@@ -264,8 +280,8 @@
     }
     uint32_t Tokens = 0;
     bool Done = false;
-    bool Foreign = false;
-    std::istringstream Lines(Read.Body);
+    bool WrongAnswer = false;
+    std::istringstream Lines(Answer.Body);
     for (std::string Line; std::getline(Lines, Line);) {
       if (Line.rfind("data: ", 0) != 0)
         continue;
@@ -280,15 +296,15 @@
         continue;
       }
       const std::string Expected = R.Tag + ":" + std::to_string(Tokens++) + " ";
-      Foreign |= !Json.is_object() || Json["model"] != Model ||
-                 Json["choices"][0]["text"] != Expected;
+      WrongAnswer |= !Json.is_object() || Json["model"] != Model ||
+                     Json["choices"][0]["text"] != Expected;
     }
-    if (Foreign)
-      Seen.Violations.push_back("foreign answer " + R.Tag);
+    if (WrongAnswer)
+      Record.Violations.push_back("answer of another request " + R.Tag);
     if (Ended && Done && Tokens != R.Tokens)
-      Seen.Violations.push_back("answer not whole " + R.Tag);
-    R.Whole = Ended && Done && Tokens == R.Tokens;
-    if (!R.Whole && R.Code.empty())
+      Record.Violations.push_back("incomplete answer " + R.Tag);
+    R.Complete = Ended && Done && Tokens == R.Tokens;
+    if (!R.Complete && R.Code.empty())
       R.Code = "cut";
   }
 
@@ -300,9 +316,9 @@
   void scheduleOrders() {
     double At = -WarmUpSeconds;
     while ((At += -std::log(1 - Rand.unit()) / OrdersPerSecond) <
-           CountedSeconds) {
+           MeasuredSeconds) {
       const bool Resend = Rand.below(ResendOneIn) == 0;
-      at(At, [this, Resend] { sendOrder(Resend); });
+      scheduleAt(At, [this, Resend] { sendOrder(Resend); });
     }
   }
 
@@ -310,10 +326,11 @@
     auto O = std::make_shared<Order>();
     O->Key = "order-" + std::to_string(++OrderCounter);
     O->Issued = std::to_string(unixMillis(presentTime().Wall));
-    postOrder(O, OrderCounter % Fleet.Entries.size(), clock());
+    postOrder(O, OrderCounter % Fleet.Entries.size(), elapsedSeconds());
     if (Resend)
-      at(clock() + ResendAfterSeconds, [this, O] {
-        postOrder(O, (OrderCounter + 1) % Fleet.Entries.size(), clock());
+      scheduleAt(elapsedSeconds() + ResendAfterSeconds, [this, O] {
+        postOrder(O, (OrderCounter + 1) % Fleet.Entries.size(),
+                  elapsedSeconds());
       });
   }
 
@@ -341,13 +358,13 @@
             }
           }
           if (End == "ok")
-            Seen.OrderTimes.push_back(seconds(presentTime().Steady - Sent));
+            Record.OrderSeconds.push_back(seconds(presentTime().Steady - Sent));
           if (At >= 0)
-            ++Seen.OrderEnds[End];
+            ++Record.OrderOutcomes[End];
         });
   }
 
-  std::map<std::string, double> engineCounts() {
+  std::map<std::string, double> engineCounters() {
     std::map<std::string, double> Out;
     for (const char *Name : {"steps", "sequence_steps", "adapter_steps",
                              "loads", "violations", "crashes"})
@@ -364,15 +381,15 @@
     return Out;
   }
 
-  void checkPromises() {
+  void checkGuarantees() {
     std::set<std::string> Ran;
     for (const std::string &Tag : Fleet.runs(Fleet.Engines))
       Ran.insert(Tag);
-    for (const auto &R : Seen.Results) {
+    for (const auto &R : Record.Results) {
       if (!R->Ended)
-        Seen.Violations.push_back("no end " + R->Tag);
+        Record.Violations.push_back("no end " + R->Tag);
       if (R->Outcome == "not_run" && Ran.count(R->Tag))
-        Seen.Violations.push_back("not_run but ran " + R->Tag);
+        Record.Violations.push_back("not_run but ran " + R->Tag);
     }
     for (const std::string &Line : Fleet.runs(Fleet.Services)) {
       const size_t Space = Line.rfind(' ');
@@ -380,38 +397,37 @@
       if (Key.rfind("order-", 0) != 0)
         continue;
       if (std::atoi(Line.c_str() + Space) > 1)
-        Seen.Violations.push_back("ran twice " + Key);
+        Record.Violations.push_back("ran twice " + Key);
     }
-    const auto Now = engineCounts();
+    const auto Now = engineCounters();
     if (Now.at("violations") > 0)
-      Seen.Violations.push_back("evicted while serving");
+      Record.Violations.push_back("evicted while serving");
   }
 
   void report() {
-    checkPromises();
-    ScenarioHead Head;
-    Head.Name = S.Name;
-    Head.Strategy = S.Strategy;
-    Head.Deployment = S.Deployment;
-    Head.Seed = S.Seed;
-    Head.ComputeBound = ComputeBound;
-    Head.StoreBound =
+    checkGuarantees();
+    ScenarioInfo Info;
+    Info.Name = Opts.Name;
+    Info.Strategy = Opts.Strategy;
+    Info.Deployment = Opts.Deployment;
+    Info.Seed = Opts.Seed;
+    Info.ComputeBound = ComputeBoundPerSecond;
+    Info.StoreBound =
         Fleet.Shape.StoreRate / (1 - popularShare(Spec, ResidentAdapters));
-    Head.RequestsPerSecond = Spec.RequestsPerSecond;
-    Head.CountedSeconds = CountedSeconds;
-    printReport(Head, Seen);
+    Info.RequestsPerSecond = Spec.RequestsPerSecond;
+    Info.MeasuredSeconds = MeasuredSeconds;
+    printReport(Info, Record);
   }
 
-  Setup S;
+  RunOptions Opts;
   WorkloadSpec Spec;
   boost::asio::io_context Io{1};
   testing::Fleet Fleet;
   http::Client Client;
   Random Rand;
   Time Start{};
-  ScenarioRecord Seen;
-  /// Adapters asked for so far, and first requests that are counted: no
-  /// strategy can serve those without a load.
+  ScenarioRecord Record;
+  // Adapters requested so far.
   std::set<size_t> Requested;
   uint64_t Counter = 0;
   uint64_t OrderCounter = 0;
@@ -420,18 +436,19 @@
 } // namespace
 
 int main(int Argc, char **Argv) {
-  CLI::App App{"one scenario against a whole fleet on loopback"};
-  Setup S;
-  App.add_option("--name", S.Name, "scenario");
-  App.add_option("--strategy", S.Strategy,
+  CLI::App App{"run one scenario against a deployment on loopback"};
+  RunOptions Opts;
+  App.add_option("--name", Opts.Name, "scenario");
+  App.add_option("--strategy", Opts.Strategy,
                  "ours, random, least_loaded or consistent_hash");
-  App.add_option("--deployment", S.Deployment, "totara or qureshi");
-  App.add_option("--seed", S.Seed, "seed");
-  App.add_option("--programs", S.Programs, "folder of the built programs");
-  App.add_option("--work", S.Work, "work folder; is emptied");
+  App.add_option("--deployment", Opts.Deployment, "totara or qureshi");
+  App.add_option("--seed", Opts.Seed, "seed");
+  App.add_option("--programs", Opts.Programs, "folder of the built programs");
+  App.add_option("--work", Opts.Work,
+                 "folder for settings and logs; existing content is deleted");
   CLI11_PARSE(App, Argc, Argv);
   try {
-    return ScenarioRun(S).run();
+    return ScenarioRun(Opts).run();
   } catch (const std::exception &E) {
     std::fprintf(stderr, "%s\n", E.what());
     return 2;
--- a/bench/scenario_report.h
+++ b/bench/scenario_report.h
@@ -1,9 +1,9 @@
-// What a scenario's run has seen, and the page that it prints: per rank what
-// callers got, what the engines did, and every broken promise.
+// Records one run of a scenario and prints its report: the results of callers
+// per rank, the counters of the engines, and every violated guarantee.
 //
-//   ScenarioRecord Seen;
-//   Seen.Results.push_back(R);
-//   printReport(Head, Seen);
+//   ScenarioRecord Record;
+//   Record.Results.push_back(R);
+//   printReport(Info, Record);
 #ifndef GOLDCRESTLINK_BENCH_SCENARIO_REPORT_H
 #define GOLDCRESTLINK_BENCH_SCENARIO_REPORT_H
 
@@ -16,37 +16,47 @@
 
 namespace goldcrestlink::bench {
 
-/// What became of one request. Times are in seconds; negative: not yet.
-struct Result {
+/// Result of one request. FirstByte and Total are in seconds after sending;
+/// negative: not known yet.
+struct RequestResult {
   size_t Rank = 0;
-  double At = 0;
+  /// Time of sending, in seconds after the warm-up.
+  double SentAt = 0;
   double FirstByte = -1;
   double Total = -1;
   unsigned Status = 0;
   std::string Code;
   std::string Outcome;
-  bool Whole = false;
+  /// The answer arrived with all its tokens and its end mark.
+  bool Complete = false;
+  /// The call has ended, with an answer or an error.
   bool Ended = false;
+  /// Sent as the field "user"; identifies the request in its answer and in the
+  /// engines' lists of runs.
   std::string Tag;
+  /// Number of tokens requested.
   uint32_t Tokens = 0;
 };
 
 struct ScenarioRecord {
-  std::vector<std::shared_ptr<Result>> Results;
+  std::vector<std::shared_ptr<RequestResult>> Results;
   std::vector<std::string> Violations;
-  /// Work orders by how they ended, and the times of those that were done.
-  std::map<std::string, size_t> OrderEnds;
-  std::vector<double> OrderTimes;
-  /// Counters of all engines together, before and after the counted time.
-  std::map<std::string, double> EngineBefore;
-  std::map<std::string, double> EngineAfter;
-  /// Counted requests that are the first for their adapter since the start.
+  /// Number of work orders by outcome, and the durations of the successful
+  /// ones.
+  std::map<std::string, size_t> OrderOutcomes;
+  std::vector<double> OrderSeconds;
+  /// Sums of the counters of all engines and their sides, at the start and at
+  /// the end of the measurement.
+  std::map<std::string, double> EngineCountersBefore;
+  std::map<std::string, double> EngineCountersAfter;
+  /// Number of measured requests that are the first for their adapter since the
+  /// start of the run. No strategy can serve these without a load.
   double FirstRequests = 0;
 };
 
-/// What the run was, and the bounds that its figures stand beside, in requests
-/// per second.
-struct ScenarioHead {
+/// Parameters of the run, and the upper bounds on the throughput of engines and
+/// weight store. Bounds are in requests per second.
+struct ScenarioInfo {
   std::string Name;
   std::string Strategy;
   std::string Deployment;
@@ -54,11 +64,12 @@
   double ComputeBound = 0;
   double StoreBound = 0;
   double RequestsPerSecond = 0;
-  double CountedSeconds = 0;
+  /// Duration of the measurement.
+  double MeasuredSeconds = 0;
 };
 
 /// Prints to standard output.
-void printReport(const ScenarioHead &Head, const ScenarioRecord &Seen);
+void printReport(const ScenarioInfo &Info, const ScenarioRecord &Record);
 
 } // namespace goldcrestlink::bench
 
--- a/bench/workload.cc
+++ b/bench/workload.cc
@@ -1,5 +1,7 @@
-// Poisson arrivals per rank; Zipf popularity by inversion of the cumulative
-// weights; token counts log-normal with the given geometric mean.
+// Arrivals of each rank are a Poisson process. Adapters follow a Zipf
+// distribution, sampled by inversion of the cumulative weights. Token counts
+// are log-normal with the given geometric mean. Each arrival costs one binary
+// search.
 #include "bench/workload.h"
 
 #include <algorithm>
@@ -10,8 +12,9 @@
 
 namespace {
 
-// Spread of the token counts. The scenarios' compute bound takes geometric and
-// arithmetic mean as equal; with this spread they differ by 5%.
+// Standard deviation of the logarithm of the token counts. The compute bound of
+// the scenarios takes geometric and arithmetic mean as equal; with this value
+// they differ by 5%.
 constexpr double TokenSigma = 0.3;
 constexpr double TwoPi = 6.283185307179586;
 
@@ -19,27 +22,27 @@
   std::vector<double> Out(Spec.Adapters);
   double Sum = 0;
   for (size_t I = 0; I < Out.size(); ++I) {
-    Sum += std::pow(static_cast<double>(I + 1), -Spec.Exponent);
+    Sum += std::pow(static_cast<double>(I + 1), -Spec.ZipfExponent);
     Out[I] = Sum;
   }
   return Out;
 }
 
-std::vector<size_t> shuffled(size_t Count, Random &R) {
+std::vector<size_t> shuffled(size_t Count, Random &Rng) {
   std::vector<size_t> Out(Count);
   std::iota(Out.begin(), Out.end(), size_t(0));
   for (size_t I = Count; I > 1; --I)
-    std::swap(Out[I - 1], Out[R.below(I)]);
+    std::swap(Out[I - 1], Out[Rng.below(I)]);
   return Out;
 }
 
-double exponential(Random &R, double Rate) {
-  return -std::log(1 - R.unit()) / Rate;
+double exponential(Random &Rng, double Rate) {
+  return -std::log(1 - Rng.unit()) / Rate;
 }
 
-uint32_t tokenCount(Random &R, double GeometricMean) {
+uint32_t tokenCount(Random &Rng, double GeometricMean) {
   const double Normal =
-      std::sqrt(-2 * std::log(1 - R.unit())) * std::cos(TwoPi * R.unit());
+      std::sqrt(-2 * std::log(1 - Rng.unit())) * std::cos(TwoPi * Rng.unit());
   const double Tokens = GeometricMean * std::exp(TokenSigma * Normal);
   return static_cast<uint32_t>(std::max(1.0, std::round(Tokens)));
 }
@@ -55,31 +58,33 @@
 
 std::vector<Arrival> makeArrivals(const WorkloadSpec &Spec, uint64_t Seed,
                                   double From, double To) {
-  Random R(Seed);
+  Random Rng(Seed);
   const auto Weights = cumulativeWeights(Spec);
-  const auto Before = shuffled(Spec.Adapters, R);
-  const auto After = shuffled(Spec.Adapters, R);
+  const auto InitialOrder = shuffled(Spec.Adapters, Rng);
+  const auto ShiftedOrder = shuffled(Spec.Adapters, Rng);
   std::vector<Arrival> Out;
-  for (size_t Rank = 0; Rank < Ranks; ++Rank) {
+  for (size_t Rank = 0; Rank < RankCount; ++Rank) {
     double MaxFactor = 1;
     for (const Flood &F : Spec.Floods)
       if (F.Rank == Rank)
         MaxFactor = std::max(MaxFactor, F.Factor);
-    const double Base = Spec.RequestsPerSecond * RankShare[Rank];
-    // Thinning: draw at the highest rate, keep the present rate's part.
-    for (double At = From; (At += exponential(R, Base * MaxFactor)) < To;) {
+    const double BaseRate = Spec.RequestsPerSecond * RankShare[Rank];
+    // Thinning: arrivals are drawn at the highest rate of the run and kept with
+    // the probability current rate / highest rate.
+    for (double At = From;
+         (At += exponential(Rng, BaseRate * MaxFactor)) < To;) {
       const Flood *F = floodAt(Spec, Rank, At);
       const double Factor = F ? F->Factor : 1;
-      const double Draw = R.unit() * Weights.back();
-      const auto Place = static_cast<size_t>(
+      const double Draw = Rng.unit() * Weights.back();
+      const auto Index = static_cast<size_t>(
           std::lower_bound(Weights.begin(), Weights.end(), Draw) -
           Weights.begin());
-      const uint32_t Tokens = tokenCount(R, RankTokens[Rank]);
-      const size_t Uniform = R.below(Spec.Adapters);
-      if (R.unit() >= Factor / MaxFactor)
+      const uint32_t Tokens = tokenCount(Rng, RankMeanTokens[Rank]);
+      const size_t Uniform = Rng.below(Spec.Adapters);
+      if (Rng.unit() >= Factor / MaxFactor)
         continue;
       const bool Shifted = Spec.ShiftAt >= 0 && At >= Spec.ShiftAt;
-      const size_t Popular = (Shifted ? After : Before)[Place];
+      const size_t Popular = (Shifted ? ShiftedOrder : InitialOrder)[Index];
       const bool Cold = F && F->Cold;
       Out.push_back({At, Rank, Cold ? Uniform : Popular, Tokens});
     }
--- a/bench/workload.h
+++ b/bench/workload.h
@@ -1,8 +1,9 @@
-// The scenarios' workload: who asks for which adapter, at which rank, how much
-// and when. Everything follows from the seed.
+// Generates the workload of a scenario: adapter, rank, number of tokens and
+// time of every request. The same specification and seed give the same
+// workload.
 //
-//   Workload W(Spec, Seed);
-//   while (auto A = W.next(Clock)) schedule(*A);
+//   for (const Arrival &A : makeArrivals(Spec, Seed, -20, 60))
+//     schedule(A);
 #ifndef GOLDCRESTLINK_BENCH_WORKLOAD_H
 #define GOLDCRESTLINK_BENCH_WORKLOAD_H
 
@@ -15,31 +16,35 @@
 
 namespace goldcrestlink::bench {
 
-constexpr size_t Ranks = 3;
-constexpr std::array<const char *, Ranks> RankNames = {"urgent", "standard",
-                                                       "bulk"};
-/// Part of the mix, geometric mean of tokens, and seconds for a whole answer.
-constexpr std::array<double, Ranks> RankShare = {0.2, 0.5, 0.3};
-constexpr std::array<double, Ranks> RankTokens = {40, 100, 300};
-constexpr std::array<double, Ranks> RankTarget = {4, 15, 45};
+constexpr size_t RankCount = 3;
+constexpr std::array<const char *, RankCount> RankNames = {"urgent", "standard",
+                                                           "bulk"};
+/// Per rank: share of the requests, geometric mean of the output tokens, and
+/// target for the time to a complete answer.
+constexpr std::array<double, RankCount> RankShare = {0.2, 0.5, 0.3};
+constexpr std::array<double, RankCount> RankMeanTokens = {40, 100, 300};
+constexpr std::array<double, RankCount> RankTargetSeconds = {4, 15, 45};
 
-/// Rank arrivals are multiplied by Factor from From to To, in seconds after
-/// the warm-up.
+/// Multiplies the arrival rate of one rank by Factor between From and To, in
+/// seconds after the warm-up.
 struct Flood {
   size_t Rank = 0;
   double Factor = 1;
   double From = 15;
   double To = 45;
-  /// Its requests are uniform over all adapters.
+  /// The rank's requests in that time choose adapters uniformly, so that most
+  /// of them need a load.
   bool Cold = false;
 };
 
 struct WorkloadSpec {
   size_t Adapters = 3000;
-  double Exponent = 1.0;
+  /// Exponent of the Zipf distribution of adapter popularity.
+  double ZipfExponent = 1.0;
   double RequestsPerSecond = 10;
   std::vector<Flood> Floods;
-  /// The order of popularity is reshuffled then; none if negative.
+  /// When the order of popularity is reshuffled, in seconds after the warm-up;
+  /// negative: never.
   double ShiftAt = -1;
 };
 
@@ -52,11 +57,13 @@
   uint32_t Tokens = 1;
 };
 
-/// All arrivals from \p From to \p To, by time.
+/// All arrivals from \p From to \p To, sorted by time; both in seconds after
+/// the warm-up. Thread-safe.
 std::vector<Arrival> makeArrivals(const WorkloadSpec &Spec, uint64_t Seed,
                                   double From, double To);
 
 /// Share of requests that go to the \p Count most popular adapters.
+/// Precondition: Count > 0.
 double popularShare(const WorkloadSpec &Spec, size_t Count);
 
 } // namespace goldcrestlink::bench
