--- a/scripts/check-style.sh
+++ b/scripts/check-style.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# Checks format and lint of all sources but the generated ones. Needs a
-# configured build folder.
+# Checks all sources except generated ones with clang-format and clang-tidy.
+# Needs a configured build folder, because clang-tidy reads its compile
+# commands.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 mapfile -t Sources < <(git ls-files '*.cc' '*.h' | grep -v '^wire/generated/')
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Sets up a fresh machine, builds, and runs a whole deployment on loopback.
+# Installs the packages, builds, and runs a complete deployment on loopback.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 bash scripts/install-packages.sh
--- a/scripts/install-packages.sh
+++ b/scripts/install-packages.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Installs the compiler, the tools and the libraries from Debian's packages.
+# Installs compiler, tools and libraries from Debian's packages.
 set -euo pipefail
 export DEBIAN_FRONTEND=noninteractive
 apt-get update -q
--- a/scripts/run-tests.sh
+++ b/scripts/run-tests.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Runs all tests. A failure passes only if KNOWN-RED.txt lists exactly that
-# test; what it lists is printed.
+# Runs all tests. Succeeds if no test fails, or if KNOWN-RED.txt lists every
+# test that fails. After a failure, the contents of KNOWN-RED.txt are printed.
 set -uo pipefail
 cd "$(dirname "$0")/.."
 ctest --test-dir build --output-on-failure --timeout 900
--- a/scripts/test.sh
+++ b/scripts/test.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Sets up a fresh machine, builds, and runs all tests.
+# Installs the packages, builds, and runs all tests.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 bash scripts/install-packages.sh
--- a/scripts/try-mutations.sh
+++ b/scripts/try-mutations.sh
@@ -1,8 +1,11 @@
 #!/usr/bin/env bash
-# Applies each change of testing/mutations.txt to a copy of the sources, one at
-# a time, and runs the tests that must notice. Prints one line each; fails if a
-# change goes unnoticed. By hand only: it builds once whole, then per change.
-#   scripts/try-mutations.sh [COPY]   COPY is kept for the next time if given
+# Mutation testing: applies each change of testing/mutations.txt to a copy of
+# the sources, one at a time, and runs the tests that must fail because of it.
+# Prints one line per change, and fails if a change is not detected, cannot be
+# applied or does not build. Not part of CI, because it builds the complete
+# project once and again, incrementally, for each change.
+#   scripts/try-mutations.sh [COPY]   folder of the copy; kept for the next run
+#                                     if given, otherwise temporary
 set -euo pipefail
 cd "$(dirname "$0")/.."
 Copy=${1:-$(mktemp -d)}
