--- a/soak/callers.cc
+++ b/soak/callers.cc
@@ -1,6 +1,7 @@
-// Calls arrive by a timer at an even rate, whatever becomes of earlier ones, up
-// to a bound on open calls. A call ends by its answer, by its connection, by
-// its caller's departure, or by the caller's patience.
+// A timer sends calls at an even rate, independent of the progress of earlier
+// calls, up to a bound on open calls, which also bounds memory. A call ends
+// when its answer is complete, its connection breaks, its caller disconnects or
+// its deadline and grace period have passed.
 #include "soak/callers.h"
 
 #include <future>
@@ -22,27 +23,28 @@
 namespace {
 
 constexpr auto SendInterval = std::chrono::milliseconds(10);
-// Shares of the kinds, in percent; the rest are streams.
-constexpr uint64_t OnceShare = 25;
-constexpr uint64_t ReadShare = 25;
-constexpr uint64_t ExtraShare = 6;
-// Of streams, in percent: long ones, and those whose caller leaves early.
-constexpr uint64_t LongShare = 10;
-constexpr uint64_t LeavingShare = 10;
-constexpr uint64_t ShortEvents = 12;
-constexpr uint64_t LongEvents = 150;
-constexpr uint64_t LeftEvents = 300;
-constexpr auto LeavesAfter = std::chrono::milliseconds(300);
-
-std::string_view pathOf(CallKind K) {
+// Percentage of calls by kind; the rest are streams.
+constexpr uint64_t OncePercent = 25;
+constexpr uint64_t ReadPercent = 25;
+constexpr uint64_t ExtraPercent = 6;
+// Percentage of streams that are long, and of streams whose caller disconnects
+// AbandonAfter after the first byte.
+constexpr uint64_t LongPercent = 10;
+constexpr uint64_t AbandonedPercent = 10;
+constexpr uint64_t MaxShortStreamEvents = 12;
+constexpr uint64_t LongStreamEvents = 150;
+constexpr uint64_t AbandonedStreamEvents = 300;
+constexpr auto AbandonAfter = std::chrono::milliseconds(300);
+
+std::string_view pathOf(CallKind Kind) {
   constexpr std::string_view Paths[] = {"/once/x", "/read/x", "/stream/x",
                                         "/extra/x"};
-  return Paths[static_cast<size_t>(K)];
+  return Paths[static_cast<size_t>(Kind)];
 }
 
 struct OpenCall {
   std::string Id;
-  SeenAnswer Seen;
+  ObservedAnswer Answer;
   std::shared_ptr<http::Call> Running;
   std::function<void(bool)> Done;
   bool Ended = false;
@@ -51,14 +53,14 @@
 } // namespace
 
 struct Callers::State {
-  State(std::vector<http::Endpoint> InEntries, PromiseOracle &Judge,
-        uint64_t Seed, CallersOptions O)
-      : Entries(std::move(InEntries)), Judge(Judge), Luck(Seed), O(O),
+  State(std::vector<http::Endpoint> InEntries, GuaranteeOracle &Oracle,
+        uint64_t Seed, CallersOptions Opts)
+      : Entries(std::move(InEntries)), Oracle(Oracle), Rand(Seed), Opts(Opts),
         Client(Io), Timer(Io), Thread([this] {
           auto Guard = asio::make_work_guard(Io);
           Io.run();
         }) {
-    asio::post(Io, [this] { sendDue(); });
+    asio::post(Io, [this] { sendDueCalls(); });
   }
 
   ~State() {
@@ -68,117 +70,124 @@
 
   static Time now() { return presentTime().Steady; }
 
-  void sendDue() {
-    Due +=
-        O.rate() * Factor * std::chrono::duration<double>(SendInterval).count();
-    for (; Due >= 1; Due -= 1)
-      if (Sending && Open < O.maxOpen())
-        send(Luck.below(Entries.size()), drawKind(), {});
+  void sendDueCalls() {
+    CallsDue += Opts.rate() * RateFactor *
+                std::chrono::duration<double>(SendInterval).count();
+    for (; CallsDue >= 1; CallsDue -= 1)
+      if (Sending && OpenCalls < Opts.maxOpen())
+        send(Rand.below(Entries.size()), randomKind(), {});
     Timer.expires_after(SendInterval);
     Timer.async_wait([this](boost::system::error_code Error) {
       if (!Error && Sending)
-        sendDue();
+        sendDueCalls();
     });
   }
 
-  CallKind drawKind() {
-    const uint64_t Draw = Luck.below(100);
-    if (Draw < OnceShare)
+  CallKind randomKind() {
+    const uint64_t Draw = Rand.below(100);
+    if (Draw < OncePercent)
       return CallKind::Once;
-    if (Draw < OnceShare + ReadShare)
+    if (Draw < OncePercent + ReadPercent)
       return CallKind::Read;
-    return Draw < OnceShare + ReadShare + ExtraShare ? CallKind::Extra
-                                                     : CallKind::Stream;
+    return Draw < OncePercent + ReadPercent + ExtraPercent ? CallKind::Extra
+                                                           : CallKind::Stream;
   }
 
-  // Few adapters get most calls.
-  std::string drawAdapter() {
-    const double U = Luck.unit();
-    return "a" + std::to_string(static_cast<size_t>(U * U * AdapterCount));
+  // Skewed towards low numbers, so that a few adapters receive most calls.
+  std::string randomAdapter() {
+    const double Uniform = Rand.unit();
+    return "a" + std::to_string(
+                     static_cast<size_t>(Uniform * Uniform * AdapterCount));
   }
 
   void send(size_t Entry, CallKind Kind, std::function<void(bool)> Done) {
-    const uint64_t Draw = Luck.below(100);
-    const bool Leaves =
-        Kind == CallKind::Stream && !Done && Draw < LeavingShare;
-    const bool Long = !Done && Draw < LeavingShare + LongShare;
+    const uint64_t Draw = Rand.below(100);
+    const bool IsAbandoned =
+        Kind == CallKind::Stream && !Done && Draw < AbandonedPercent;
+    const bool IsLong = !Done && Draw < AbandonedPercent + LongPercent;
     const uint64_t Events =
-        Leaves ? LeftEvents : (Long ? LongEvents : 1 + Luck.below(ShortEvents));
-    auto C = std::make_shared<OpenCall>();
-    C->Id = "r" + std::to_string(++LastId);
-    C->Done = std::move(Done);
-    http::Request R;
-    R.Method = "POST";
-    R.Target = std::string(pathOf(Kind));
-    R.Body = C->Id + " events=" + std::to_string(Events);
-    R.Fields = {
+        IsAbandoned ? AbandonedStreamEvents
+                    : (IsLong ? LongStreamEvents
+                              : 1 + Rand.below(MaxShortStreamEvents));
+    auto Call = std::make_shared<OpenCall>();
+    Call->Id = "r" + std::to_string(++LastId);
+    Call->Done = std::move(Done);
+    http::Request Request;
+    Request.Method = "POST";
+    Request.Target = std::string(pathOf(Kind));
+    Request.Body = Call->Id + " events=" + std::to_string(Events);
+    Request.Fields = {
         {"Host", "h"},
-        {"Request-Id", C->Id},
-        {"Request-Deadline", std::to_string(O.deadline().count() / 1000)}};
+        {"Request-Id", Call->Id},
+        {"Request-Deadline", std::to_string(Opts.deadline().count() / 1000)}};
     if (Kind == CallKind::Stream) {
-      R.Fields.push_back({"Model", "m/" + drawAdapter()});
-      R.Fields.push_back({"Token-Count", "100," + std::to_string(Events)});
+      Request.Fields.push_back({"Model", "m/" + randomAdapter()});
+      Request.Fields.push_back(
+          {"Token-Count", "100," + std::to_string(Events)});
     }
-    Judge.onSent(now(), {C->Id, Kind, Entry, R.Target, R.Body});
-    ++Open;
-    start(C, Entry, std::move(R), Leaves);
+    Oracle.onSent(now(), {Call->Id, Kind, Entry, Request.Target, Request.Body});
+    ++OpenCalls;
+    start(Call, Entry, std::move(Request), IsAbandoned);
   }
 
-  void start(const std::shared_ptr<OpenCall> &C, size_t Entry, http::Request R,
-             bool Leaves) {
+  void start(const std::shared_ptr<OpenCall> &Call, size_t Entry,
+             http::Request Request, bool IsAbandoned) {
     http::CallHandlers On;
-    On.OnHead = [C](const http::ResponseHead &Head) {
-      C->Seen.Status = Head.Status;
-      C->Seen.RequestId = std::string(Head.header("Request-Id"));
-      C->Seen.Signature = std::string(Head.header("Response-Seal"));
-      C->Seen.HasRetryAfter = !Head.header("Retry-After").empty();
+    On.OnHead = [Call](const http::ResponseHead &Head) {
+      Call->Answer.Status = Head.Status;
+      Call->Answer.RequestId = std::string(Head.header("Request-Id"));
+      Call->Answer.Signature = std::string(Head.header("Response-Seal"));
+      Call->Answer.HasRetryAfter = !Head.header("Retry-After").empty();
     };
-    On.OnData = [this, C, Leaves](std::string Part) {
-      if (Leaves && C->Seen.Body.empty())
-        testing::runLater(Io, LeavesAfter,
-                          [this, C] { giveUp(C, CallEnd::LeftByCaller); });
-      C->Seen.Body += Part;
+    On.OnData = [this, Call, IsAbandoned](std::string Part) {
+      if (IsAbandoned && Call->Answer.Body.empty())
+        testing::runLater(Io, AbandonAfter, [this, Call] {
+          cancel(Call, CallEnd::CallerDisconnected);
+        });
+      Call->Answer.Body += Part;
     };
-    On.OnDone = [this, C] { end(C, CallEnd::Whole); };
-    On.OnError = [this, C](http::CallError, const std::string &) {
-      end(C, CallEnd::Broken);
+    On.OnDone = [this, Call] { end(Call, CallEnd::Complete); };
+    On.OnError = [this, Call](http::CallError, const std::string &) {
+      end(Call, CallEnd::Broken);
     };
-    const Duration Longest = O.deadline() + O.patience();
-    http::CallOptions Options;
-    Options.setRepeatReads(false).setSilenceTimeout(Longest * 2);
-    C->Running = Client.start(Entries[Entry], std::move(R), Options, On);
+    const Duration MaxWait = Opts.deadline() + Opts.gracePeriod();
+    http::CallOptions HttpOptions;
+    HttpOptions.setRepeatReads(false).setSilenceTimeout(MaxWait * 2);
+    Call->Running =
+        Client.start(Entries[Entry], std::move(Request), HttpOptions, On);
     testing::runLater(
-        Io, std::chrono::duration_cast<std::chrono::milliseconds>(Longest),
-        [this, C] { giveUp(C, CallEnd::Unanswered); });
+        Io, std::chrono::duration_cast<std::chrono::milliseconds>(MaxWait),
+        [this, Call] { cancel(Call, CallEnd::Unanswered); });
   }
 
-  void giveUp(const std::shared_ptr<OpenCall> &C, CallEnd How) {
-    if (C->Ended)
+  void cancel(const std::shared_ptr<OpenCall> &Call, CallEnd End) {
+    if (Call->Ended)
       return;
-    C->Running->cancel();
-    end(C, How);
+    Call->Running->cancel();
+    end(Call, End);
   }
 
-  void end(const std::shared_ptr<OpenCall> &C, CallEnd How) {
-    if (C->Ended)
+  void end(const std::shared_ptr<OpenCall> &Call, CallEnd End) {
+    if (Call->Ended)
       return;
-    C->Ended = true;
-    C->Seen.End = How;
-    Judge.onAnswer(now(), C->Id, C->Seen);
-    --Open;
-    if (C->Done)
-      C->Done(How == CallEnd::Whole && C->Seen.Status == 200);
-    // The handlers in the call refer to C.
-    asio::post(Io, [C] { C->Running.reset(); });
+    Call->Ended = true;
+    Call->Answer.End = End;
+    Oracle.onAnswer(now(), Call->Id, Call->Answer);
+    --OpenCalls;
+    if (Call->Done)
+      Call->Done(End == CallEnd::Complete && Call->Answer.Status == 200);
+    // The call's handlers hold Call: dropping the call breaks the cycle.
+    // Posted, since this function may run inside one of those handlers.
+    asio::post(Io, [Call] { Call->Running.reset(); });
   }
 
   std::vector<http::Endpoint> Entries;
-  PromiseOracle &Judge;
-  Random Luck;
-  CallersOptions O;
-  double Factor = 1;
-  double Due = 0;
-  size_t Open = 0;
+  GuaranteeOracle &Oracle;
+  Random Rand;
+  CallersOptions Opts;
+  double RateFactor = 1;
+  double CallsDue = 0;
+  size_t OpenCalls = 0;
   uint64_t LastId = 0;
   bool Sending = true;
   asio::io_context Io{1};
@@ -187,14 +196,15 @@
   std::thread Thread;
 };
 
-Callers::Callers(std::vector<http::Endpoint> Entries, PromiseOracle &Judge,
-                 uint64_t Seed, CallersOptions O)
-    : Shared(std::make_unique<State>(std::move(Entries), Judge, Seed, O)) {}
+Callers::Callers(std::vector<http::Endpoint> Entries, GuaranteeOracle &Oracle,
+                 uint64_t Seed, CallersOptions Opts)
+    : Shared(std::make_unique<State>(std::move(Entries), Oracle, Seed, Opts)) {}
 
 Callers::~Callers() = default;
 
 void Callers::setRateFactor(double Factor) {
-  asio::post(Shared->Io, [S = Shared.get(), Factor] { S->Factor = Factor; });
+  asio::post(Shared->Io,
+             [S = Shared.get(), Factor] { S->RateFactor = Factor; });
 }
 
 void Callers::dropIdle(size_t Entry) {
@@ -203,22 +213,22 @@
   });
 }
 
-bool Callers::isServed(size_t Entry, CallKind Kind) {
+bool Callers::callAndWait(size_t Entry, CallKind Kind) {
   std::promise<bool> Served;
   asio::post(Shared->Io, [&] {
-    Shared->send(Entry, Kind, [&](bool Well) { Served.set_value(Well); });
+    Shared->send(Entry, Kind, [&](bool Success) { Served.set_value(Success); });
   });
   return Served.get_future().get();
 }
 
 void Callers::stop() {
   for (;;) {
-    std::promise<size_t> Left;
+    std::promise<size_t> Remaining;
     asio::post(Shared->Io, [&] {
       Shared->Sending = false;
-      Left.set_value(Shared->Open);
+      Remaining.set_value(Shared->OpenCalls);
     });
-    if (Left.get_future().get() == 0)
+    if (Remaining.get_future().get() == 0)
       return;
     std::this_thread::sleep_for(SendInterval);
   }
--- a/soak/callers.h
+++ b/soak/callers.h
@@ -1,9 +1,10 @@
-// Callers of all kinds at a steady rate, through all entries; some of them
-// leave in the midst of a stream. What they send and see goes to an oracle.
+// Load generator: sends calls of all kinds at a steady rate through all
+// entries; some callers disconnect in the middle of a stream. Reports each call
+// and its answer to an oracle.
 //
-//   Callers C(Entries, Oracle, Seed, CallersOptions());
-//   C.setRateFactor(4);
-//   C.stop();   // returns once every call has ended
+//   Callers Traffic(Entries, Oracle, Seed, CallersOptions());
+//   Traffic.setRateFactor(4);
+//   Traffic.stop();   // returns once every call has ended
 #ifndef GOLDCRESTLINK_SOAK_CALLERS_H
 #define GOLDCRESTLINK_SOAK_CALLERS_H
 
@@ -20,25 +21,26 @@
   double rate() const { return Rate; }
   size_t maxOpen() const { return MaxOpen; }
   Duration deadline() const { return Deadline; }
-  Duration patience() const { return Patience; }
+  Duration gracePeriod() const { return GracePeriod; }
   /// Calls per second.
   CallersOptions &setRate(double PerSecond) {
     Rate = PerSecond;
     return *this;
   }
-  /// Beyond this many open calls none is sent.
-  CallersOptions &setMaxOpen(size_t N) {
-    MaxOpen = N;
+  /// No call is sent while this many are open.
+  CallersOptions &setMaxOpen(size_t Calls) {
+    MaxOpen = Calls;
     return *this;
   }
-  /// What callers announce as the time that they have.
-  CallersOptions &setDeadline(Duration D) {
-    Deadline = D;
+  /// Time limit that callers send in Request-Deadline.
+  CallersOptions &setDeadline(Duration Limit) {
+    Deadline = Limit;
     return *this;
   }
-  /// How much longer they wait before they take a call for unanswered.
-  CallersOptions &setPatience(Duration D) {
-    Patience = D;
+  /// How long after the deadline a caller still waits before the call counts as
+  /// unanswered.
+  CallersOptions &setGracePeriod(Duration Grace) {
+    GracePeriod = Grace;
     return *this;
   }
 
@@ -46,23 +48,24 @@
   double Rate = 60;
   size_t MaxOpen = 400;
   Duration Deadline = std::chrono::seconds(8);
-  Duration Patience = std::chrono::seconds(6);
+  Duration GracePeriod = std::chrono::seconds(6);
 };
 
-/// Thread-safe: calls run on a thread of its own.
+/// Thread-safe: calls run on a thread owned by this object.
 class Callers {
 public:
-  Callers(std::vector<http::Endpoint> Entries, PromiseOracle &Judge,
-          uint64_t Seed, CallersOptions O);
+  Callers(std::vector<http::Endpoint> Entries, GuaranteeOracle &Oracle,
+          uint64_t Seed, CallersOptions Opts);
   ~Callers();
-  /// Multiplies the rate from now on.
+  /// Later calls are sent at \p Factor times CallersOptions::rate().
   void setRateFactor(double Factor);
-  /// Calls no longer use the connections to this entry that are idle now.
+  /// Closes the idle connections to this entry, so that later calls open new
+  /// ones.
   void dropIdle(size_t Entry);
-  /// Makes one call of \p Kind through \p Entry now and waits for its end;
-  /// true if it is served.
-  bool isServed(size_t Entry, CallKind Kind);
-  /// Sends nothing more and waits until every call has ended.
+  /// Sends one call of \p Kind through \p Entry and waits until it ends; true
+  /// if the answer is complete with status 200.
+  bool callAndWait(size_t Entry, CallKind Kind);
+  /// Stops sending and waits until every call has ended.
   void stop();
 
   struct State;
--- a/soak/fleet_under_test.cc
+++ b/soak/fleet_under_test.cc
@@ -1,5 +1,7 @@
-// Addresses are of a network of loopback that differs between soaks, so that
-// several can run at once; each block of it holds one sort of address.
+// Processes, upstreams and proxy links listen at addresses of the form
+// 127.network.block.number. The network differs
+// between soak processes, so that several can run at once; each block holds the
+// addresses of one kind of listener.
 #include "soak/fleet_under_test.h"
 
 #include <algorithm>
@@ -14,7 +16,7 @@
 
 namespace {
 
-// Third number of an address.
+// Third octet of an address.
 enum Block : unsigned {
   EngineBlock = 1,
   EntryBlock,
@@ -26,20 +28,22 @@
   PlainProxyBlock
 };
 
+// Second octets of addresses.
 constexpr unsigned FirstNetwork = 2;
-constexpr unsigned Networks = 240;
-// The platform names at most three instances to a starting one.
+constexpr unsigned NetworkCount = 240;
+// The platform gives a starting instance the addresses of at most three others.
 constexpr size_t MaxPeers = 3;
-constexpr double StopPatience = 120;
-constexpr double BurstFactor = 5;
-// The platform's budget for a process.
+constexpr double StopTimeoutSeconds = 120;
+constexpr double BurstRateFactor = 5;
+// The platform's memory limit for a process.
 constexpr double MaxMemoryMb = 256;
-// Far above what links and calls of a soak need.
+// Far above what the links and calls of a soak need, so that only a leak of
+// descriptors exceeds it.
 constexpr size_t MaxOpenFiles = 8000;
 
-// Below the range from which the system gives ports to connecting sockets: a
-// side that calls its engine while it is down could otherwise take the engine's
-// port for its own.
+// Below the range of ephemeral ports: otherwise a side that connects to its
+// engine while the engine is down could be given the engine's port as its
+// source port.
 constexpr uint16_t EntryPort = 18080;
 constexpr uint16_t ReadyPort = 18081;
 constexpr uint16_t UpstreamPort = 18082;
@@ -49,38 +53,41 @@
 
 } // namespace
 
-FleetUnderTest::FleetUnderTest(const Shape &InOf, PromiseOracle &InJudge,
+FleetUnderTest::FleetUnderTest(const SoakShape &InShape,
+                               GuaranteeOracle &InOracle,
                                const std::filesystem::path &InFolder)
-    : Of(InOf), Judge(InJudge), Folder(InFolder),
-      Network(FirstNetwork + static_cast<unsigned>(::getpid()) % Networks),
-      Platform(&InJudge) {
+    : Shape(InShape), Oracle(InOracle), Folder(InFolder),
+      Network(FirstNetwork + static_cast<unsigned>(::getpid()) % NetworkCount),
+      Platform(&InOracle) {
   std::filesystem::create_directories(Folder);
   Platform.putConfig(ConfigVersion);
-  // Links are numbered as Shape::links says.
-  for (size_t I = 0; I < Of.Entries; ++I) {
+  // The order of these loops numbers the links as SoakShape::links()
+  // documents.
+  for (size_t I = 0; I < Shape.Entries; ++I) {
     ProxiedEntries.push_back({host(EntryProxyBlock, I), EntryPort});
-    link(ProxiedEntries[I], {host(EntryBlock, I), EntryPort});
+    addLink(ProxiedEntries[I], {host(EntryBlock, I), EntryPort});
   }
-  for (size_t I = 0; I < Of.Entries; ++I)
-    link({host(PeerProxyBlock, I), LinkPort}, {host(EntryBlock, I), LinkPort});
-  for (size_t I = 0; I < Of.Entries; ++I) {
+  for (size_t I = 0; I < Shape.Entries; ++I)
+    addLink({host(PeerProxyBlock, I), LinkPort},
+            {host(EntryBlock, I), LinkPort});
+  for (size_t I = 0; I < Shape.Entries; ++I) {
     ProxiedStores.push_back({host(StoreProxyBlock, I), StorePort});
-    link(ProxiedStores[I], Platform.store());
+    addLink(ProxiedStores[I], Platform.store());
   }
-  for (size_t I = 0; I < Of.Engines; ++I)
-    link({host(EngineProxyBlock, I), UpstreamPort},
-         {host(EngineBlock, I), UpstreamPort});
-  for (size_t I = 0; I < Of.Engines; ++I)
-    link({host(EngineProxyBlock, I), LinkPort},
-         {host(EngineBlock, I), LinkPort});
-  for (size_t I = 0; I < Of.Plains; ++I)
-    link({host(PlainProxyBlock, I), UpstreamPort},
-         {host(PlainBlock, I), UpstreamPort});
-  for (size_t I = 0; I < Of.Entries; ++I)
+  for (size_t I = 0; I < Shape.Engines; ++I)
+    addLink({host(EngineProxyBlock, I), UpstreamPort},
+            {host(EngineBlock, I), UpstreamPort});
+  for (size_t I = 0; I < Shape.Engines; ++I)
+    addLink({host(EngineProxyBlock, I), LinkPort},
+            {host(EngineBlock, I), LinkPort});
+  for (size_t I = 0; I < Shape.Plains; ++I)
+    addLink({host(PlainProxyBlock, I), UpstreamPort},
+            {host(PlainBlock, I), UpstreamPort});
+  for (size_t I = 0; I < Shape.Entries; ++I)
     addEntry(I);
-  for (size_t I = 0; I < Of.Engines; ++I)
+  for (size_t I = 0; I < Shape.Engines; ++I)
     addEngine(I);
-  for (size_t I = 0; I < Of.Plains; ++I)
+  for (size_t I = 0; I < Shape.Plains; ++I)
     addUpstream("plain" + std::to_string(I), "plain",
                 {host(PlainBlock, I), UpstreamPort},
                 {host(PlainProxyBlock, I), UpstreamPort});
@@ -88,55 +95,56 @@
 
 FleetUnderTest::~FleetUnderTest() = default;
 
-std::string FleetUnderTest::host(unsigned Block, size_t I) const {
+std::string FleetUnderTest::host(unsigned Block, size_t Index) const {
   return "127." + std::to_string(Network) + "." + std::to_string(Block) + "." +
-         std::to_string(I + 1);
+         std::to_string(Index + 1);
 }
 
-void FleetUnderTest::link(const http::Endpoint &Listen,
-                          const http::Endpoint &Target) {
+void FleetUnderTest::addLink(const http::Endpoint &Listen,
+                             const http::Endpoint &Target) {
   Links.push_back(Proxy.addLink(Listen, Target));
 }
 
-std::string FleetUnderTest::fleetSection(const http::Endpoint &Store,
-                                         const std::string &Host) const {
+std::string
+FleetUnderTest::storeAndFleetSections(const http::Endpoint &Store,
+                                      const std::string &Host) const {
   return "[store]\naddress = " + Store.text() + "\n[fleet]\naddress = " + Host +
          "\nlink_port = " + std::to_string(LinkPort) +
          "\nmetrics_port = " + std::to_string(MetricsPort) + "\n";
 }
 
-void FleetUnderTest::addEntry(size_t I) {
-  const std::string Host = host(EntryBlock, I);
+void FleetUnderTest::addEntry(size_t Index) {
+  const std::string Host = host(EntryBlock, Index);
   std::string Peers;
-  for (size_t Other = 0; Other < std::min(Of.Entries, MaxPeers); ++Other)
-    if (Other != I)
+  for (size_t Other = 0; Other < std::min(Shape.Entries, MaxPeers); ++Other)
+    if (Other != Index)
       Peers +=
           " " + host(PeerProxyBlock, Other) + ":" + std::to_string(LinkPort);
   const OracleBounds Bounds;
-  addMember(
-      "entry" + std::to_string(I),
-      "[process]\nrole = entry\ninstance = entry-" + std::to_string(I) +
-          "\ndata_center = z\nlisten = " + Host + ":" +
-          std::to_string(EntryPort) + "\n" +
-          fleetSection(ProxiedStores[I], Host) + "ready_listen = " + Host +
-          ":" + std::to_string(ReadyPort) + "\npeers =" + Peers +
-          "\n[bounds]\nstop_s = " + std::to_string(Of.StopSeconds) +
-          "\nretry_ratio = " + std::to_string(Bounds.RetryRatio) +
-          "\nretry_slack = " + std::to_string(Bounds.RetrySlack) +
-          "\nretry_window_s = " + std::to_string(seconds(Bounds.RetryWindow)) +
-          "\n");
+  addProcess("entry" + std::to_string(Index),
+             "[process]\nrole = entry\ninstance = entry-" +
+                 std::to_string(Index) + "\ndata_center = z\nlisten = " + Host +
+                 ":" + std::to_string(EntryPort) + "\n" +
+                 storeAndFleetSections(ProxiedStores[Index], Host) +
+                 "ready_listen = " + Host + ":" + std::to_string(ReadyPort) +
+                 "\npeers =" + Peers +
+                 "\n[bounds]\nstop_s = " + std::to_string(Shape.StopSeconds) +
+                 "\nretry_ratio = " + std::to_string(Bounds.RetryRatio) +
+                 "\nretry_slack = " + std::to_string(Bounds.RetrySlack) +
+                 "\nretry_window_s = " +
+                 std::to_string(seconds(Bounds.RetryWindow)) + "\n");
 }
 
-void FleetUnderTest::addEngine(size_t I) {
-  const std::string Host = host(EngineBlock, I);
+void FleetUnderTest::addEngine(size_t Index) {
+  const std::string Host = host(EngineBlock, Index);
   const http::Endpoint Engine{Host, UpstreamPort};
-  addUpstream("engine" + std::to_string(I), "engines", Engine,
-              {host(EngineProxyBlock, I), UpstreamPort});
-  addMember("side" + std::to_string(I),
-            "[process]\nrole = side\ninstance = side-" + std::to_string(I) +
-                "\ndata_center = z\nlisten = " + Host + ":1\n" +
-                fleetSection(Platform.store(), Host) +
-                "engine = " + Engine.text() + "\nservice = engines\n");
+  addUpstream("engine" + std::to_string(Index), "engines", Engine,
+              {host(EngineProxyBlock, Index), UpstreamPort});
+  addProcess("side" + std::to_string(Index),
+             "[process]\nrole = side\ninstance = side-" +
+                 std::to_string(Index) + "\ndata_center = z\nlisten = " + Host +
+                 ":1\n" + storeAndFleetSections(Platform.store(), Host) +
+                 "engine = " + Engine.text() + "\nservice = engines\n");
 }
 
 void FleetUnderTest::addUpstream(const std::string &Name,
@@ -147,154 +155,161 @@
   Upstreams.push_back({Name, Name});
 }
 
-void FleetUnderTest::addMember(const std::string &Name,
-                               const std::string &Settings) {
-  Member M;
-  M.Name = Name;
-  M.SettingsFile = (Folder / (Name + ".ini")).string();
-  M.LogFile = (Folder / (Name + ".log")).string();
-  std::ofstream(M.SettingsFile) << Settings;
-  run(M);
-  Members.push_back(std::move(M));
+void FleetUnderTest::addProcess(const std::string &Name,
+                                const std::string &Settings) {
+  ProcessUnderTest Process;
+  Process.Name = Name;
+  Process.SettingsFile = (Folder / (Name + ".ini")).string();
+  Process.LogFile = (Folder / (Name + ".log")).string();
+  std::ofstream(Process.SettingsFile) << Settings;
+  launch(Process);
+  Processes.push_back(std::move(Process));
 }
 
-void FleetUnderTest::run(Member &M) {
-  M.Running = std::make_unique<testing::Process>(
+void FleetUnderTest::launch(ProcessUnderTest &Process) {
+  Process.Running = std::make_unique<testing::Process>(
       std::vector<std::string>{"./goldcrestlinkd", "--settings",
-                               M.SettingsFile},
-      M.LogFile);
-  M.Stopping = false;
+                               Process.SettingsFile},
+      Process.LogFile);
+  Process.Stopping = false;
 }
 
-void FleetUnderTest::reapStopped(Member &M) {
-  if (!M.Running || M.Running->running())
+void FleetUnderTest::reapIfEnded(ProcessUnderTest &Process) {
+  if (!Process.Running || Process.Running->running())
     return;
-  const int Exit = M.Running->wait();
-  M.Running.reset();
-  if (!M.Stopping)
-    Judge.report(M.Name + " ended by itself, exit=" + std::to_string(Exit));
+  const int Exit = Process.Running->wait();
+  Process.Running.reset();
+  if (!Process.Stopping)
+    Oracle.report(Process.Name + " ended without having been stopped, exit=" +
+                  std::to_string(Exit));
   else if (Exit != 0)
-    Judge.report(M.Name + " stopped with exit=" + std::to_string(Exit));
+    Oracle.report(Process.Name +
+                  " stopped with an error, exit=" + std::to_string(Exit));
 }
 
-bool FleetUnderTest::start(Member &M) {
-  reapStopped(M);
-  if (M.Running)
-    return !M.Stopping;
-  run(M);
+bool FleetUnderTest::start(ProcessUnderTest &Process) {
+  reapIfEnded(Process);
+  if (Process.Running)
+    return !Process.Stopping;
+  launch(Process);
   return true;
 }
 
-void FleetUnderTest::kill(Member &M) {
-  reapStopped(M);
-  if (!M.Running)
+void FleetUnderTest::kill(ProcessUnderTest &Process) {
+  reapIfEnded(Process);
+  if (!Process.Running)
     return;
-  M.Running->signal(SIGKILL);
-  M.Running->wait();
-  M.Running.reset();
+  Process.Running->signal(SIGKILL);
+  Process.Running->wait();
+  Process.Running.reset();
 }
 
-void FleetUnderTest::terminate(Member &M) {
-  reapStopped(M);
-  if (!M.Running)
+void FleetUnderTest::terminate(ProcessUnderTest &Process) {
+  reapIfEnded(Process);
+  if (!Process.Running)
     return;
-  M.Running->signal(SIGTERM);
-  M.Stopping = true;
+  Process.Running->signal(SIGTERM);
+  Process.Stopping = true;
 }
 
-void FleetUnderTest::signal(Member &M, int Number) {
-  if (M.Running)
-    M.Running->signal(Number);
+void FleetUnderTest::signal(ProcessUnderTest &Process, int Number) {
+  if (Process.Running)
+    Process.Running->signal(Number);
 }
 
-void FleetUnderTest::crashUpstream(Upstream &U) {
-  Judge.onUpstreamCrash(U.Id);
-  Platform.crash(U.Name);
-  Judge.onUpstreamCrash(U.Id);
+// Runs that begin between the first report and the crash are lost as well,
+// hence the second report.
+void FleetUnderTest::crashUpstream(Upstream &Target) {
+  Oracle.onUpstreamCrash(Target.Id);
+  Platform.crash(Target.Name);
+  Oracle.onUpstreamCrash(Target.Id);
 }
 
-void FleetUnderTest::startUpstream(Upstream &U, bool AnotherId) {
+void FleetUnderTest::startUpstream(Upstream &Target, bool WithNewId) {
   const std::string Id =
-      AnotherId ? U.Name + "-" + std::to_string(++Incarnation) : U.Id;
-  if (Platform.start(U.Name, Id))
-    U.Id = Id;
+      WithNewId ? Target.Name + "-" + std::to_string(++Incarnation) : Target.Id;
+  if (Platform.start(Target.Name, Id))
+    Target.Id = Id;
 }
 
 void FleetUnderTest::configure(Time Now, bool Extra) {
   Platform.putConfig(++ConfigVersion, Extra);
-  Judge.onConfiguration(Now, Extra);
+  Oracle.onConfiguration(Now, Extra);
 }
 
-// Calls through an entry that stands still or is cut off from its callers may
-// stay without an answer.
-void FleetUnderTest::disturb(Time Now, const Step &S, Callers &Load) {
-  const bool OnProcess = S.What == Action::Pause || S.What == Action::Resume;
-  const bool OnLink = S.What == Action::LinkFaulty ||
-                      S.What == Action::LinkHealed ||
-                      S.What == Action::LinkSilenced;
-  if ((!OnProcess && !OnLink) || S.Target >= Of.Entries)
+// Calls through an entry that is paused or cut off from its callers may stay
+// unanswered. Processes and links are numbered from the entries on, so a target
+// below the number of entries is an entry or its link from callers.
+void FleetUnderTest::recordDisturbance(Time Now, const Step &Next,
+                                       Callers &Traffic) {
+  const bool AffectsProcess =
+      Next.Kind == Action::Pause || Next.Kind == Action::Resume;
+  const bool AffectsLink = Next.Kind == Action::LinkFaulty ||
+                           Next.Kind == Action::LinkHealed ||
+                           Next.Kind == Action::LinkSilenced;
+  if ((!AffectsProcess && !AffectsLink) || Next.Target >= Shape.Entries)
     return;
-  Judge.onDisturbed(Now, S.Target);
-  if (S.What == Action::LinkSilenced)
-    Load.dropIdle(S.Target);
+  Oracle.onDisturbed(Now, Next.Target);
+  if (Next.Kind == Action::LinkSilenced)
+    Traffic.dropIdle(Next.Target);
 }
 
-bool FleetUnderTest::apply(Time Now, const Step &S, Callers &Load) {
-  disturb(Now, S, Load);
-  switch (S.What) {
+bool FleetUnderTest::apply(Time Now, const Step &Next, Callers &Traffic) {
+  recordDisturbance(Now, Next, Traffic);
+  switch (Next.Kind) {
   case Action::LinkFaulty:
-    Proxy.setFault(Links[S.Target], static_cast<LinkFault>(S.Variant));
+    Proxy.setFault(Links[Next.Target], static_cast<LinkFault>(Next.Variant));
     break;
   case Action::LinkHealed:
-    Proxy.setFault(Links[S.Target], LinkFault::None);
+    Proxy.setFault(Links[Next.Target], LinkFault::None);
     break;
   case Action::LinkReset:
-    Proxy.reset(Links[S.Target]);
+    Proxy.reset(Links[Next.Target]);
     break;
   case Action::LinkSilenced:
-    Proxy.silenceOpen(Links[S.Target]);
+    Proxy.silenceOpen(Links[Next.Target]);
     break;
   case Action::Pause:
-    signal(Members[S.Target], SIGSTOP);
+    signal(Processes[Next.Target], SIGSTOP);
     break;
   case Action::Resume:
-    signal(Members[S.Target], SIGCONT);
+    signal(Processes[Next.Target], SIGCONT);
     break;
   case Action::Kill:
-    kill(Members[S.Target]);
+    kill(Processes[Next.Target]);
     break;
   case Action::Terminate:
-    terminate(Members[S.Target]);
+    terminate(Processes[Next.Target]);
     break;
   case Action::Start:
-    return start(Members[S.Target]);
+    return start(Processes[Next.Target]);
   case Action::Reload:
-    signal(Members[S.Target], SIGHUP);
+    signal(Processes[Next.Target], SIGHUP);
     break;
   case Action::UpstreamCrash:
-    crashUpstream(Upstreams[S.Target]);
+    crashUpstream(Upstreams[Next.Target]);
     break;
   case Action::UpstreamStart:
-    startUpstream(Upstreams[S.Target], S.Variant == 1);
+    startUpstream(Upstreams[Next.Target], Next.Variant == 1);
     break;
   case Action::UpstreamFaulty:
-    Platform.setFault(Upstreams[S.Target].Name,
-                      static_cast<UpstreamFault>(S.Variant));
+    Platform.setFault(Upstreams[Next.Target].Name,
+                      static_cast<UpstreamFault>(Next.Variant));
     break;
   case Action::UpstreamHealed:
-    Platform.setFault(Upstreams[S.Target].Name, UpstreamFault::None);
+    Platform.setFault(Upstreams[Next.Target].Name, UpstreamFault::None);
     break;
   case Action::Drain:
-    Platform.drain(Upstreams[S.Target].Name);
+    Platform.drain(Upstreams[Next.Target].Name);
     break;
   case Action::Restore:
-    Platform.restore(Upstreams[S.Target].Name);
+    Platform.restore(Upstreams[Next.Target].Name);
     break;
   case Action::Remove:
-    Platform.remove(Upstreams[S.Target].Name);
+    Platform.remove(Upstreams[Next.Target].Name);
     break;
   case Action::StoreFaulty:
-    Platform.setStoreFault(static_cast<StoreFault>(S.Variant));
+    Platform.setStoreFault(static_cast<StoreFault>(Next.Variant));
     break;
   case Action::StoreHealed:
     Platform.setStoreFault(StoreFault::None);
@@ -306,68 +321,70 @@
     Platform.putGarbage();
     break;
   case Action::Release:
-    Platform.release("a" + std::to_string(S.Target), ++Versions[S.Target] + 1);
+    Platform.release("a" + std::to_string(Next.Target),
+                     ++ReleaseCounts[Next.Target] + 1);
     break;
   case Action::Configure:
-    configure(Now, S.Variant == 1);
+    configure(Now, Next.Variant == 1);
     break;
   case Action::Burst:
-    Load.setRateFactor(BurstFactor);
+    Traffic.setRateFactor(BurstRateFactor);
     break;
   case Action::BurstOver:
-    Load.setRateFactor(1);
+    Traffic.setRateFactor(1);
     break;
   }
   return true;
 }
 
-void FleetUnderTest::healAll(Time Now, Callers &Load) {
+void FleetUnderTest::healAll(Time Now, Callers &Traffic) {
   Platform.setStoreFault(StoreFault::None);
-  Load.setRateFactor(1);
+  Traffic.setRateFactor(1);
   for (size_t I = 0; I < Links.size(); ++I)
     Proxy.setFault(Links[I], LinkFault::None);
-  for (size_t I = 0; I < Of.Entries; ++I)
-    Judge.onDisturbed(Now, I);
-  for (Member &M : Members) {
-    signal(M, SIGCONT);
-    if (!testing::eventually([&] { return start(M); }, StopPatience))
-      Judge.report(M.Name + " does not stop");
+  for (size_t I = 0; I < Shape.Entries; ++I)
+    Oracle.onDisturbed(Now, I);
+  for (ProcessUnderTest &Process : Processes) {
+    signal(Process, SIGCONT);
+    if (!testing::eventually([&] { return start(Process); },
+                             StopTimeoutSeconds))
+      Oracle.report(Process.Name + " did not stop in time");
   }
-  for (Upstream &U : Upstreams) {
-    Platform.setFault(U.Name, UpstreamFault::None);
-    startUpstream(U, false);
-    Platform.restore(U.Name);
+  for (Upstream &Target : Upstreams) {
+    Platform.setFault(Target.Name, UpstreamFault::None);
+    startUpstream(Target, false);
+    Platform.restore(Target.Name);
   }
 }
 
 void FleetUnderTest::reapEnded() {
-  for (Member &M : Members)
-    reapStopped(M);
+  for (ProcessUnderTest &Process : Processes)
+    reapIfEnded(Process);
 }
 
 void FleetUnderTest::checkResources() {
-  for (const Member &M : Members) {
-    if (!M.Running)
+  for (const ProcessUnderTest &Process : Processes) {
+    if (!Process.Running)
       continue;
-    const double Memory = M.Running->peakMemoryMb();
-    const size_t Files = M.Running->openFiles();
+    const double Memory = Process.Running->peakMemoryMb();
+    const size_t Files = Process.Running->openFiles();
     if (Memory > MaxMemoryMb || Files > MaxOpenFiles)
-      Judge.report(M.Name + " memory_mb=" + std::to_string(Memory) +
-                   " open_files=" + std::to_string(Files));
+      Oracle.report(Process.Name + " memory_mb=" + std::to_string(Memory) +
+                    " open_files=" + std::to_string(Files));
   }
 }
 
 void FleetUnderTest::stopAll() {
-  for (Member &M : Members)
-    terminate(M);
-  for (Member &M : Members)
+  for (ProcessUnderTest &Process : Processes)
+    terminate(Process);
+  for (ProcessUnderTest &Process : Processes)
     if (!testing::eventually(
             [&] {
-              reapStopped(M);
-              return !M.Running;
+              reapIfEnded(Process);
+              return !Process.Running;
             },
-            StopPatience))
-      Judge.report(M.Name + " does not stop");
+            StopTimeoutSeconds))
+      Oracle.report(Process.Name + " did not stop in time");
 }
 
 } // namespace goldcrestlink::soak
--- a/soak/fleet_under_test.h
+++ b/soak/fleet_under_test.h
@@ -1,11 +1,12 @@
-// The processes under test, the stand-ins that they serve with, and the links
-// between them, all of which steps of a schedule disturb. Between any two sits
-// the loopback proxy, except a side and its own engine, which share an
-// instance.
+// The deployment under test: real entry and side processes, stand-ins for
+// upstreams and the store, and the network links between them. The steps of a
+// schedule inject faults into all of these. Connections pass through the
+// loopback proxy, except those of a side to its own engine, which share an
+// instance, and to the store.
 //
-//   FleetUnderTest F(Shape(), Oracle, Folder);
-//   F.apply(Step);       // false: not yet possible, to be tried again
-//   F.healAll();
+//   FleetUnderTest Fleet(SoakShape(), Oracle, Folder);
+//   Fleet.apply(Now, Step, Traffic);   // false: not yet possible, retry later
+//   Fleet.healAll(Now, Traffic);
 #ifndef GOLDCRESTLINK_SOAK_FLEET_UNDER_TEST_H
 #define GOLDCRESTLINK_SOAK_FLEET_UNDER_TEST_H
 
@@ -24,28 +25,28 @@
 /// Not thread-safe.
 class FleetUnderTest {
 public:
-  /// Starts everything; logs and settings go to \p Folder. The program is
-  /// looked for in the present folder.
-  FleetUnderTest(const Shape &Of, PromiseOracle &Judge,
+  /// Starts all processes and stand-ins; writes logs and settings to \p Folder.
+  /// Precondition: the working directory contains goldcrestlinkd.
+  FleetUnderTest(const SoakShape &Shape, GuaranteeOracle &Oracle,
                  const std::filesystem::path &Folder);
   ~FleetUnderTest();
 
-  /// Where callers reach the entries.
+  /// Addresses at which callers reach the entries, through the proxy.
   const std::vector<http::Endpoint> &entries() const { return ProxiedEntries; }
-  /// Carries out a step; false if it has to wait, as a start has to for the
-  /// end of a process that is stopping.
-  bool apply(Time Now, const Step &S, Callers &Load);
-  /// Ends every fault, starts what does not run.
-  void healAll(Time Now, Callers &Load);
-  /// Reports processes that ended by themselves.
+  /// Carries out a step. Returns false if the step has to be retried later: a
+  /// process can start only after its previous run has stopped.
+  bool apply(Time Now, const Step &Next, Callers &Traffic);
+  /// Ends every fault and starts the processes and upstreams that do not run.
+  void healAll(Time Now, Callers &Traffic);
+  /// Reports processes that ended without having been stopped.
   void reapEnded();
-  /// Reports processes that use more memory or files than their share.
+  /// Reports processes that exceeded their limits on memory or open files.
   void checkResources();
-  /// Stops every process and reports those that do not end well.
+  /// Stops every process; reports those that do not stop or exit with an error.
   void stopAll();
 
 private:
-  struct Member {
+  struct ProcessUnderTest {
     std::string Name;
     std::string SettingsFile;
     std::string LogFile;
@@ -54,43 +55,46 @@
   };
   struct Upstream {
     std::string Name;
-    /// Changes when it starts again as another.
+    /// Changes when it restarts under another id.
     std::string Id;
   };
 
-  std::string host(unsigned Block, size_t I) const;
-  std::string fleetSection(const http::Endpoint &Store,
-                           const std::string &Host) const;
-  void link(const http::Endpoint &Listen, const http::Endpoint &Target);
-  void addEntry(size_t I);
-  void addEngine(size_t I);
+  std::string host(unsigned Block, size_t Index) const;
+  std::string storeAndFleetSections(const http::Endpoint &Store,
+                                    const std::string &Host) const;
+  void addLink(const http::Endpoint &Listen, const http::Endpoint &Target);
+  void addEntry(size_t Index);
+  void addEngine(size_t Index);
   void addUpstream(const std::string &Name, const std::string &Service,
                    const http::Endpoint &Listen,
                    const http::Endpoint &Published);
-  void addMember(const std::string &Name, const std::string &Settings);
-  void run(Member &M);
-  bool start(Member &M);
-  void kill(Member &M);
-  void terminate(Member &M);
-  static void signal(Member &M, int Number);
-  void reapStopped(Member &M);
-  void crashUpstream(Upstream &U);
-  void startUpstream(Upstream &U, bool AnotherId);
+  void addProcess(const std::string &Name, const std::string &Settings);
+  void launch(ProcessUnderTest &Process);
+  bool start(ProcessUnderTest &Process);
+  void kill(ProcessUnderTest &Process);
+  void terminate(ProcessUnderTest &Process);
+  static void signal(ProcessUnderTest &Process, int Number);
+  void reapIfEnded(ProcessUnderTest &Process);
+  void crashUpstream(Upstream &Target);
+  void startUpstream(Upstream &Target, bool WithNewId);
   void configure(Time Now, bool Extra);
-  void disturb(Time Now, const Step &S, Callers &Load);
+  void recordDisturbance(Time Now, const Step &Next, Callers &Traffic);
 
-  Shape Of;
-  PromiseOracle &Judge;
+  SoakShape Shape;
+  GuaranteeOracle &Oracle;
   std::filesystem::path Folder;
+  /// Second octet of all addresses.
   unsigned Network;
   testing::PlatformStandIn Platform;
   LoopbackProxy Proxy;
   std::vector<http::Endpoint> ProxiedEntries;
   std::vector<http::Endpoint> ProxiedStores;
+  /// Proxy links, numbered as SoakShape::links() documents.
   std::vector<size_t> Links;
-  std::vector<Member> Members;
+  std::vector<ProcessUnderTest> Processes;
   std::vector<Upstream> Upstreams;
-  std::map<size_t, int> Versions;
+  /// Releases so far, by adapter.
+  std::map<size_t, int> ReleaseCounts;
   int ConfigVersion = 1;
   int Incarnation = 1;
 };
--- a/soak/loopback_proxy.cc
+++ b/soak/loopback_proxy.cc
@@ -1,6 +1,6 @@
-// Each direction of a relay is a loop of one read and one write, so that at
-// most one buffer is held per direction and the sender's own buffers fill up
-// behind it. A held direction looks again after HoldPoll.
+// Each direction of a connection is a loop of one read and one write, so that
+// it buffers at most BufferBytes and TCP flow control slows the sender down. A
+// held direction checks its fault again after HoldPollInterval.
 #include "soak/loopback_proxy.h"
 
 #include <array>
@@ -22,7 +22,7 @@
 namespace {
 
 constexpr size_t BufferBytes = 16 * 1024;
-constexpr auto HoldPoll = std::chrono::milliseconds(10);
+constexpr auto HoldPollInterval = std::chrono::milliseconds(10);
 
 Tcp::endpoint tcpEndpoint(const http::Endpoint &E) {
   return {asio::ip::make_address(E.Address), E.Port};
@@ -33,9 +33,10 @@
             const http::Endpoint &Target)
       : Acceptor(Io, tcpEndpoint(Listen)), Target(tcpEndpoint(Target)) {}
 
-  bool holds(bool Forward) const {
+  bool isHeld(bool Forward) const {
     return Fault == LinkFault::Silent ||
-           Fault == (Forward ? LinkFault::HeldForward : LinkFault::HeldBack);
+           Fault ==
+               (Forward ? LinkFault::HeldForward : LinkFault::HeldBackward);
   }
 
   Tcp::acceptor Acceptor;
@@ -46,27 +47,29 @@
 
 class Relay : public std::enable_shared_from_this<Relay> {
 public:
-  Relay(asio::io_context &Io, LinkState &Link, Tcp::socket InNear)
-      : Io(Io), Link(Link), Near(std::move(InNear)), Far(Io) {}
+  Relay(asio::io_context &Io, LinkState &Link, Tcp::socket InClientSocket)
+      : Io(Io), Link(Link), ClientSocket(std::move(InClientSocket)),
+        TargetSocket(Io) {}
 
   void start() {
-    // A held link lets nobody connect either, once the kernel has accepted.
-    if (Link.holds(true) || Link.holds(false))
-      return again([Self = shared_from_this()] { Self->start(); });
-    Far.async_connect(Link.Target,
-                      [Self = shared_from_this()](ErrorCode Error) {
-                        if (Error)
-                          return Self->reset();
-                        ErrorCode Ignored;
-                        Self->Near.set_option(Tcp::no_delay(true), Ignored);
-                        Self->Far.set_option(Tcp::no_delay(true), Ignored);
-                        Self->read(true);
-                        Self->read(false);
-                      });
+    // The kernel has accepted the connection already; while the link is held in
+    // either direction, no connection to the target is made.
+    if (Link.isHeld(true) || Link.isHeld(false))
+      return retryLater([Self = shared_from_this()] { Self->start(); });
+    TargetSocket.async_connect(
+        Link.Target, [Self = shared_from_this()](ErrorCode Error) {
+          if (Error)
+            return Self->reset();
+          ErrorCode Ignored;
+          Self->ClientSocket.set_option(Tcp::no_delay(true), Ignored);
+          Self->TargetSocket.set_option(Tcp::no_delay(true), Ignored);
+          Self->read(true);
+          Self->read(false);
+        });
   }
 
   void reset() {
-    for (Tcp::socket *S : {&Near, &Far}) {
+    for (Tcp::socket *S : {&ClientSocket, &TargetSocket}) {
       ErrorCode Ignored;
       S->set_option(asio::socket_base::linger(true, 0), Ignored);
       S->close(Ignored);
@@ -76,11 +79,15 @@
   void silence() { Silenced = true; }
 
 private:
-  Tcp::socket &from(bool Forward) { return Forward ? Near : Far; }
-  Tcp::socket &to(bool Forward) { return Forward ? Far : Near; }
+  Tcp::socket &from(bool Forward) {
+    return Forward ? ClientSocket : TargetSocket;
+  }
+  Tcp::socket &to(bool Forward) {
+    return Forward ? TargetSocket : ClientSocket;
+  }
 
-  void again(std::function<void()> Do) {
-    testing::runLater(Io, HoldPoll, std::move(Do));
+  void retryLater(std::function<void()> Do) {
+    testing::runLater(Io, HoldPollInterval, std::move(Do));
   }
 
   void read(bool Forward) {
@@ -89,16 +96,16 @@
         [Self = shared_from_this(), Forward](ErrorCode Error, size_t Size) {
           if (Error && Error != asio::error::eof)
             return Self->reset();
-          Self->pass(Forward, Size);
+          Self->forward(Forward, Size);
         });
   }
 
-  // \p Size of 0 passes on the end of the direction.
-  void pass(bool Forward, size_t Size) {
-    if (Silenced || Link.holds(Forward))
-      return again([Self = shared_from_this(), Forward, Size] {
-        if (Self->Near.is_open())
-          Self->pass(Forward, Size);
+  // A \p Size of 0 stands for the end of the stream in this direction.
+  void forward(bool Forward, size_t Size) {
+    if (Silenced || Link.isHeld(Forward))
+      return retryLater([Self = shared_from_this(), Forward, Size] {
+        if (Self->ClientSocket.is_open())
+          Self->forward(Forward, Size);
       });
     if (Link.Fault != LinkFault::Delayed)
       return write(Forward, Size);
@@ -125,8 +132,8 @@
 
   asio::io_context &Io;
   LinkState &Link;
-  Tcp::socket Near;
-  Tcp::socket Far;
+  Tcp::socket ClientSocket;
+  Tcp::socket TargetSocket;
   std::array<std::array<char, BufferBytes>, 2> Buffers{};
   bool Silenced = false;
 };
@@ -146,17 +153,17 @@
   }
 
   void accept(LinkState &Link) {
-    Link.Acceptor.async_accept(
-        [this, &Link](ErrorCode Error, Tcp::socket Socket) {
-          if (!Error) {
-            std::erase_if(Link.Relays,
-                          [](const auto &Weak) { return Weak.expired(); });
-            auto New = std::make_shared<Relay>(Io, Link, std::move(Socket));
-            Link.Relays.push_back(New);
-            New->start();
-          }
-          accept(Link);
-        });
+    Link.Acceptor.async_accept([this, &Link](ErrorCode Error,
+                                             Tcp::socket Socket) {
+      if (!Error) {
+        std::erase_if(Link.Relays,
+                      [](const auto &Weak) { return Weak.expired(); });
+        auto NewRelay = std::make_shared<Relay>(Io, Link, std::move(Socket));
+        Link.Relays.push_back(NewRelay);
+        NewRelay->start();
+      }
+      accept(Link);
+    });
   }
 
   template <class F> auto onThread(F Do) {
@@ -171,7 +178,8 @@
     });
   }
 
-  // Acceptors and sockets refer to it, so it goes last.
+  // Declared first: acceptors and sockets refer to it, so it is destroyed after
+  // them.
   asio::io_context Io{1};
   std::vector<std::unique_ptr<LinkState>> Links;
   std::thread Thread;
@@ -190,8 +198,8 @@
   });
 }
 
-void LoopbackProxy::setFault(size_t Link, LinkFault F) {
-  Shared->onThread([&] { Shared->Links[Link]->Fault = F; });
+void LoopbackProxy::setFault(size_t Link, LinkFault Fault) {
+  Shared->onThread([&] { Shared->Links[Link]->Fault = Fault; });
 }
 
 void LoopbackProxy::reset(size_t Link) {
--- a/soak/loopback_proxy.h
+++ b/soak/loopback_proxy.h
@@ -1,10 +1,11 @@
-// A TCP relay on loopback between processes under test, whose links can be
-// slowed, held in one direction or both, reset, or left silent for good.
+// TCP proxy on loopback between processes under test. Its links can delay
+// bytes, hold them in one direction or both, reset their connections, or make
+// the open connections permanently silent.
 //
-//   LoopbackProxy P;
-//   size_t Link = P.addLink(Listen, Target);
-//   P.setFault(Link, LinkFault::HeldForward);
-//   P.reset(Link);
+//   LoopbackProxy Proxy;
+//   size_t Link = Proxy.addLink(Listen, Target);
+//   Proxy.setFault(Link, LinkFault::HeldForward);
+//   Proxy.reset(Link);
 #ifndef GOLDCRESTLINK_SOAK_LOOPBACK_PROXY_H
 #define GOLDCRESTLINK_SOAK_LOOPBACK_PROXY_H
 
@@ -14,25 +15,28 @@
 
 namespace goldcrestlink::soak {
 
-/// Forward is from the side that connects. Bytes that are held arrive once the
-/// fault is over, as the network delivers what it has to send again.
-enum class LinkFault { None, Delayed, HeldForward, HeldBack, Silent };
+/// Forward is the direction from the connecting process to the target. Silent
+/// holds both directions. Held bytes arrive once the fault has ended, like
+/// bytes that TCP retransmits after a network outage.
+enum class LinkFault { None, Delayed, HeldForward, HeldBackward, Silent };
 
-/// Thread-safe: relays run on a thread of the proxy's own.
+/// Thread-safe: connections are served on a thread owned by the proxy.
 class LoopbackProxy {
 public:
-  /// How much later bytes arrive on a delayed link.
+  /// Added latency per direction of a delayed link.
   static constexpr int DelayMs = 150;
 
   LoopbackProxy();
   ~LoopbackProxy();
-  /// Listens at once; throws boost::system::system_error if the address is
-  /// taken. A connection whose target refuses it is reset.
+  /// Starts to listen at \p Listen and returns the number of the link; throws
+  /// boost::system::system_error if the address is in use. If the target
+  /// refuses a connection, the connection to the proxy is reset.
   size_t addLink(const http::Endpoint &Listen, const http::Endpoint &Target);
-  void setFault(size_t Link, LinkFault F);
-  /// Resets the connections that are open.
+  void setFault(size_t Link, LinkFault Fault);
+  /// Resets the open connections.
   void reset(size_t Link);
-  /// The connections that are open pass nothing any more; new ones work.
+  /// The open connections stay open but carry no more bytes; new connections
+  /// work.
   void silenceOpen(size_t Link);
 
   struct State;
--- a/soak/promise_oracle.cc
+++ b/soak/promise_oracle.cc
@@ -1,6 +1,7 @@
-// Each call has a record of the runs that upstreams report for it; what callers
-// and upstreams see is judged at once against that record. The records of a
-// whole soak are kept, so that a run long after its answer is judged as well.
+// Each call has a record with the runs that upstreams reported for it. Every
+// event from a caller or upstream is checked against this record as it arrives.
+// Records are kept for the entire soak, so that a run that starts long after
+// its answer is checked as well; memory grows with the number of calls.
 #include "soak/promise_oracle.h"
 
 #include <algorithm>
@@ -15,311 +16,351 @@
 
 constexpr size_t MaxPrinted = 200;
 
-bool promisesNotRun(unsigned Status) {
+bool guaranteesNotRun(unsigned Status) {
   return Status == 408 || Status == 421 || Status == 429 || Status == 503;
 }
 
-// What a stream of \p C brings, whole.
-std::string expectedEvents(const SentCall &C) {
-  const size_t At = C.Body.find("events=");
-  const unsigned long Count = std::stoul(C.Body.substr(At + 7));
+// The complete body of the stream that answers \p Call.
+std::string expectedEvents(const SentCall &Call) {
+  const size_t At = Call.Body.find("events=");
+  const unsigned long Count = std::stoul(Call.Body.substr(At + 7));
   std::string Out;
   for (unsigned long I = 1; I <= Count; ++I)
-    Out += "id: " + std::to_string(I) + "\ndata: " + C.Id + "\n\n";
+    Out += "id: " + std::to_string(I) + "\ndata: " + Call.Id + "\n\n";
   return Out;
 }
 
-std::string describeAnswer(const SeenAnswer &A) {
-  return "status=" + std::to_string(A.Status) + " signature=" + A.Signature +
-         " request=" + A.RequestId + " bytes=" + std::to_string(A.Body.size());
+std::string describeAnswer(const ObservedAnswer &Answer) {
+  return "status=" + std::to_string(Answer.Status) +
+         " signature=" + Answer.Signature + " request=" + Answer.RequestId +
+         " bytes=" + std::to_string(Answer.Body.size());
 }
 
 constexpr std::string_view EndNames[] = {"whole", "broken", "unanswered",
                                          "left"};
 
-std::string_view serviceOf(CallKind K) {
-  return K == CallKind::Stream ? "engines" : "plain";
+std::string_view serviceOf(CallKind Kind) {
+  return Kind == CallKind::Stream ? "engines" : "plain";
 }
 
 } // namespace
 
-void PromiseOracle::violate(const std::string &Rule, const std::string &Id,
-                            const std::string &What) {
-  Found.push_back(Rule + " request=" + Id + " " + What);
-  if (Found.size() <= MaxPrinted)
-    std::cout << "VIOLATION " << Found.back() << std::endl;
+void GuaranteeOracle::addViolation(const std::string &Rule,
+                                   const std::string &Id,
+                                   const std::string &Details) {
+  Violations.push_back(Rule + " request=" + Id + " " + Details);
+  if (Violations.size() <= MaxPrinted)
+    std::cout << "VIOLATION " << Violations.back() << std::endl;
 }
 
-void PromiseOracle::onSent(Time Now, SentCall C) {
+void GuaranteeOracle::onSent(Time Now, SentCall Call) {
   const std::lock_guard Lock(Mutex);
-  CallRecord &R = Calls[C.Id];
-  R.Sent = std::move(C);
-  R.SentAt = Now;
-  R.SentUndisturbed = UndisturbedSince.has_value();
+  CallRecord &Record = Calls[Call.Id];
+  Record.Sent = std::move(Call);
+  Record.SentAt = Now;
+  Record.SentUndisturbed = UndisturbedSince.has_value();
 }
 
-void PromiseOracle::onAnswer(Time Now, const std::string &Id,
-                             const SeenAnswer &A) {
+void GuaranteeOracle::onAnswer(Time Now, const std::string &Id,
+                               const ObservedAnswer &Answer) {
   const std::lock_guard Lock(Mutex);
-  CallRecord &C = Calls.at(Id);
-  C.Answered = true;
-  ++Outcomes[std::string(EndNames[static_cast<size_t>(A.End)]) + " " +
-             std::to_string(A.Status)];
-  if (A.End == CallEnd::LeftByCaller)
-    C.LeftAt = Now;
-  else if (C.SentUndisturbed) {
+  CallRecord &Record = Calls.at(Id);
+  Record.Answered = true;
+  ++Outcomes[std::string(EndNames[static_cast<size_t>(Answer.End)]) + " " +
+             std::to_string(Answer.Status)];
+  if (Answer.End == CallEnd::CallerDisconnected)
+    Record.DisconnectedAt = Now;
+  else if (Record.SentUndisturbed) {
     ++UndisturbedCalls;
-    UndisturbedServed += A.End == CallEnd::Whole && A.Status == 200 ? 1 : 0;
+    UndisturbedServed +=
+        Answer.End == CallEnd::Complete && Answer.Status == 200 ? 1 : 0;
   }
-  judgeAnswer(Now, C, A);
+  checkAnswer(Now, Record, Answer);
 }
 
-void PromiseOracle::judgeAnswer(Time Now, CallRecord &C, const SeenAnswer &A) {
-  if (A.Status != 0 && !A.RequestId.empty() && A.RequestId != C.Sent.Id)
-    violate("MIXED", C.Sent.Id, "answer of another: " + describeAnswer(A));
-  if (A.End == CallEnd::Whole && A.Status == 200)
-    return judgeSuccess(C, A);
-  if (C.Sent.Kind == CallKind::Stream && A.Status == 200)
-    judgeStream(C, A);
-  if (A.End == CallEnd::Whole && A.Signature.empty())
-    judgeOwnAnswer(C, A);
-  if (A.End == CallEnd::Broken || A.End == CallEnd::Unanswered)
-    judgeUnfinished(Now, C, A);
+void GuaranteeOracle::checkAnswer(Time Now, CallRecord &Record,
+                                  const ObservedAnswer &Answer) {
+  if (Answer.Status != 0 && !Answer.RequestId.empty() &&
+      Answer.RequestId != Record.Sent.Id)
+    addViolation("MIXED", Record.Sent.Id,
+                 "answer belongs to another request: " +
+                     describeAnswer(Answer));
+  if (Answer.End == CallEnd::Complete && Answer.Status == 200)
+    return checkSuccess(Record, Answer);
+  if (Record.Sent.Kind == CallKind::Stream && Answer.Status == 200)
+    checkStream(Record, Answer);
+  if (Answer.End == CallEnd::Complete && Answer.Signature.empty())
+    checkEntryAnswer(Record, Answer);
+  if (Answer.End == CallEnd::Broken || Answer.End == CallEnd::Unanswered)
+    checkUnfinished(Now, Record, Answer);
 }
 
-void PromiseOracle::judgeSuccess(const CallRecord &C, const SeenAnswer &A) {
-  const bool Ran = std::any_of(C.Runs.begin(), C.Runs.end(), [&](const Run &R) {
-    return A.Signature == "seal-" + R.Upstream;
-  });
+void GuaranteeOracle::checkSuccess(const CallRecord &Record,
+                                   const ObservedAnswer &Answer) {
+  const bool Ran =
+      std::any_of(Record.Runs.begin(), Record.Runs.end(), [&](const Run &R) {
+        return Answer.Signature == "seal-" + R.Upstream;
+      });
   if (!Ran)
-    violate("MIXED", C.Sent.Id,
-            "success that no upstream signed: " + describeAnswer(A));
-  if (C.Sent.Kind == CallKind::Stream) {
-    if (A.Body != expectedEvents(C.Sent))
-      violate("ORDER", C.Sent.Id,
-              "a whole stream lacks events: " + describeAnswer(A));
-  } else if (A.Body != "done " + C.Sent.Body) {
-    violate("MIXED", C.Sent.Id, "another body: " + describeAnswer(A));
+    addViolation("MIXED", Record.Sent.Id,
+                 "success without the signature of an upstream that ran it: " +
+                     describeAnswer(Answer));
+  if (Record.Sent.Kind == CallKind::Stream) {
+    if (Answer.Body != expectedEvents(Record.Sent))
+      addViolation("ORDER", Record.Sent.Id,
+                   "complete stream differs from the expected events: " +
+                       describeAnswer(Answer));
+  } else if (Answer.Body != "done " + Record.Sent.Body) {
+    addViolation("MIXED", Record.Sent.Id,
+                 "unexpected body: " + describeAnswer(Answer));
   }
-  if (C.Sent.Kind == CallKind::Extra && !HasExtra && routeIsCertain(C))
-    violate("CONFIG", C.Sent.Id, "served on a route that was dropped");
+  if (Record.Sent.Kind == CallKind::Extra && !HasExtraRoute &&
+      routeIsSettled(Record))
+    addViolation("CONFIG", Record.Sent.Id, "served on a removed route");
 }
 
-void PromiseOracle::judgeStream(const CallRecord &C, const SeenAnswer &A) {
-  if (!expectedEvents(C.Sent).starts_with(A.Body))
-    violate("ORDER", C.Sent.Id,
-            "events out of order or joined: " + describeAnswer(A));
+void GuaranteeOracle::checkStream(const CallRecord &Record,
+                                  const ObservedAnswer &Answer) {
+  if (!expectedEvents(Record.Sent).starts_with(Answer.Body))
+    addViolation("ORDER", Record.Sent.Id,
+                 "events are missing, repeated or out of order: " +
+                     describeAnswer(Answer));
 }
 
-void PromiseOracle::judgeOwnAnswer(CallRecord &C, const SeenAnswer &A) {
-  if (promisesNotRun(A.Status)) {
-    C.RefusedAsNotRun = true;
-    if (C.Sent.Kind == CallKind::Once && !C.Runs.empty())
-      violate("REFUSED", C.Sent.Id, "has run: " + describeAnswer(A));
-    if ((A.Status == 429 || A.Status == 503) && !A.HasRetryAfter)
-      violate("REFUSED", C.Sent.Id,
-              "no time to come back: " + describeAnswer(A));
+void GuaranteeOracle::checkEntryAnswer(CallRecord &Record,
+                                       const ObservedAnswer &Answer) {
+  if (guaranteesNotRun(Answer.Status)) {
+    Record.RefusedAsNotRun = true;
+    if (Record.Sent.Kind == CallKind::Once && !Record.Runs.empty())
+      addViolation("REFUSED", Record.Sent.Id,
+                   "refused as not run, but it has run: " +
+                       describeAnswer(Answer));
+    if ((Answer.Status == 429 || Answer.Status == 503) && !Answer.HasRetryAfter)
+      addViolation("REFUSED", Record.Sent.Id,
+                   "refusal without Retry-After: " + describeAnswer(Answer));
     return;
   }
-  if (A.Status < 300 || A.Status >= 500)
+  if (Answer.Status < 300 || Answer.Status >= 500)
     return;
-  if (C.Sent.Kind != CallKind::Extra)
-    violate("DENIED", C.Sent.Id, describeAnswer(A));
-  else if (HasExtra && routeIsCertain(C))
-    violate("CONFIG", C.Sent.Id, "denied on an added route");
+  if (Record.Sent.Kind != CallKind::Extra)
+    addViolation("DENIED", Record.Sent.Id, describeAnswer(Answer));
+  else if (HasExtraRoute && routeIsSettled(Record))
+    addViolation("CONFIG", Record.Sent.Id,
+                 "denied on a route that the configuration contains");
 }
 
-void PromiseOracle::judgeUnfinished(Time Now, const CallRecord &C,
-                                    const SeenAnswer &A) {
-  if (A.End == CallEnd::Unanswered) {
-    const auto It = DisturbedAt.find(C.Sent.Entry);
-    if (It == DisturbedAt.end() || It->second < C.SentAt)
-      violate("ANSWER", C.Sent.Id,
-              "none by the deadline, entry=" + std::to_string(C.Sent.Entry));
+void GuaranteeOracle::checkUnfinished(Time Now, const CallRecord &Record,
+                                      const ObservedAnswer &Answer) {
+  if (Answer.End == CallEnd::Unanswered) {
+    const auto It = DisturbedAt.find(Record.Sent.Entry);
+    if (It == DisturbedAt.end() || It->second < Record.SentAt)
+      addViolation("ANSWER", Record.Sent.Id,
+                   "no answer in time, entry=" +
+                       std::to_string(Record.Sent.Entry));
     return;
   }
-  if (!undisturbedSince(C.SentAt))
+  if (!undisturbedSince(Record.SentAt))
     return;
-  const bool UpstreamBroke =
-      std::any_of(C.Runs.begin(), C.Runs.end(), [](const Run &R) {
+  const bool UpstreamCrashed =
+      std::any_of(Record.Runs.begin(), Record.Runs.end(), [](const Run &R) {
         return R.Lost || R.End == RunEnd::Crashed;
       });
-  const bool LateWithoutRun =
-      Bounds.Timed && C.Runs.empty() && Now - C.SentAt > Bounds.LossSlack;
-  if ((!C.Runs.empty() && !UpstreamBroke) || LateWithoutRun)
-    violate("LOST", C.Sent.Id,
-            "connection closed, runs=" + std::to_string(C.Runs.size()) +
-                " entry=" + std::to_string(C.Sent.Entry) +
-                " after_ms=" + std::to_string((Now - C.SentAt).count() / 1000) +
-                " " + describeAnswer(A));
+  const bool LateWithoutRun = Bounds.Timed && Record.Runs.empty() &&
+                              Now - Record.SentAt > Bounds.LossSlack;
+  if ((!Record.Runs.empty() && !UpstreamCrashed) || LateWithoutRun)
+    addViolation(
+        "LOST", Record.Sent.Id,
+        "connection closed, runs=" + std::to_string(Record.Runs.size()) +
+            " entry=" + std::to_string(Record.Sent.Entry) + " after_ms=" +
+            std::to_string((Now - Record.SentAt).count() / 1000) + " " +
+            describeAnswer(Answer));
 }
 
-bool PromiseOracle::routeIsCertain(const CallRecord &C) const {
-  return Bounds.Timed && undisturbedSince(C.SentAt - Bounds.Configuration) &&
-         ConfiguredAt + Bounds.Configuration < C.SentAt;
+bool GuaranteeOracle::routeIsSettled(const CallRecord &Record) const {
+  return Bounds.Timed &&
+         undisturbedSince(Record.SentAt - Bounds.Configuration) &&
+         ConfiguredAt + Bounds.Configuration < Record.SentAt;
 }
 
-void PromiseOracle::onRun(const RunSeen &R) {
+void GuaranteeOracle::onRun(const RunSeen &Observed) {
   const std::lock_guard Lock(Mutex);
-  const auto It = Calls.find(R.RequestId);
+  const auto It = Calls.find(Observed.RequestId);
   if (It == Calls.end())
-    return violate("UNASKED", R.RequestId, "no caller sent it");
-  CallRecord &C = It->second;
-  Arrivals.push_back({R.At, std::string(serviceOf(C.Sent.Kind)), !C.Arrived});
-  C.Arrived = true;
-  if (!R.Executed)
+    return addViolation("UNASKED", Observed.RequestId,
+                        "no caller has sent this request");
+  CallRecord &Record = It->second;
+  Arrivals.push_back(
+      {Observed.At, std::string(serviceOf(Record.Sent.Kind)), !Record.Arrived});
+  Record.Arrived = true;
+  if (!Observed.Executed)
     return;
-  judgeRun(C, R);
-  C.Runs.push_back({R.Upstream, false, std::nullopt});
-  judgeAttempts(C);
+  checkRun(Record, Observed);
+  Record.Runs.push_back({Observed.Upstream, false, std::nullopt});
+  checkAttempts(Record);
 }
 
-void PromiseOracle::judgeRun(const CallRecord &C, const RunSeen &R) {
-  if (R.Body != C.Sent.Body || R.Target != C.Sent.Target)
-    violate("UNASKED", C.Sent.Id, "runs with another target or body");
-  if (C.RefusedAsNotRun && C.Sent.Kind == CallKind::Once)
-    violate("REFUSED", C.Sent.Id, "runs after it was refused");
+void GuaranteeOracle::checkRun(const CallRecord &Record,
+                               const RunSeen &Observed) {
+  if (Observed.Body != Record.Sent.Body ||
+      Observed.Target != Record.Sent.Target)
+    addViolation("UNASKED", Record.Sent.Id,
+                 "runs with a changed target or body");
+  if (Record.RefusedAsNotRun && Record.Sent.Kind == CallKind::Once)
+    addViolation("REFUSED", Record.Sent.Id,
+                 "runs after it was refused as not run");
   if (!Bounds.Timed)
     return;
-  if (R.Leaving > Bounds.Drain && undisturbedSince(R.At - Bounds.Drain))
-    violate("DRAIN", C.Sent.Id,
-            "at " + R.Upstream +
-                ", leaving for ms=" + std::to_string(R.Leaving.count() / 1000));
-  if (R.Outdated > Bounds.Version && undisturbedSince(R.At - Bounds.Version))
-    violate("VERSION", C.Sent.Id,
-            "at " + R.Upstream + " on " + R.Adapter + ", outdated for ms=" +
-                std::to_string(R.Outdated.count() / 1000));
-  if (C.LeftAt && R.At - *C.LeftAt > Bounds.Departure &&
-      undisturbedSince(*C.LeftAt))
-    violate("GONE", C.Sent.Id, "runs though its caller has left");
+  if (Observed.Leaving > Bounds.Drain &&
+      undisturbedSince(Observed.At - Bounds.Drain))
+    addViolation("DRAIN", Record.Sent.Id,
+                 "at " + Observed.Upstream + ", draining or removed for ms=" +
+                     std::to_string(Observed.Leaving.count() / 1000));
+  if (Observed.Outdated > Bounds.Version &&
+      undisturbedSince(Observed.At - Bounds.Version))
+    addViolation("VERSION", Record.Sent.Id,
+                 "at " + Observed.Upstream + " on " + Observed.Adapter +
+                     ", outdated for ms=" +
+                     std::to_string(Observed.Outdated.count() / 1000));
+  if (Record.DisconnectedAt &&
+      Observed.At - *Record.DisconnectedAt > Bounds.Disconnect &&
+      undisturbedSince(*Record.DisconnectedAt))
+    addViolation("GONE", Record.Sent.Id, "runs after its caller disconnected");
 }
 
-void PromiseOracle::judgeAttempts(const CallRecord &C) {
-  if (C.Sent.Kind == CallKind::Once && C.Runs.size() > 1)
-    violate("TWICE", C.Sent.Id, "runs=" + std::to_string(C.Runs.size()));
-  const auto Sound = static_cast<size_t>(std::count_if(
-      C.Runs.begin(), C.Runs.end(), [](const Run &R) { return !R.Lost; }));
-  if (Sound > Bounds.MaxAttempts)
-    violate("BUDGET", C.Sent.Id, "runs=" + std::to_string(Sound));
+void GuaranteeOracle::checkAttempts(const CallRecord &Record) {
+  if (Record.Sent.Kind == CallKind::Once && Record.Runs.size() > 1)
+    addViolation("TWICE", Record.Sent.Id,
+                 "runs=" + std::to_string(Record.Runs.size()));
+  const auto NotLost =
+      static_cast<size_t>(std::count_if(Record.Runs.begin(), Record.Runs.end(),
+                                        [](const Run &R) { return !R.Lost; }));
+  if (NotLost > Bounds.MaxAttempts)
+    addViolation("BUDGET", Record.Sent.Id, "runs=" + std::to_string(NotLost));
 }
 
-void PromiseOracle::onRunEnd(Time Now, const std::string &RequestId,
-                             const std::string &Upstream, RunEnd How) {
+void GuaranteeOracle::onRunEnd(Time Now, const std::string &RequestId,
+                               const std::string &Upstream, RunEnd End) {
   const std::lock_guard Lock(Mutex);
   const auto It = Calls.find(RequestId);
   if (It == Calls.end())
     return;
-  const CallRecord &C = It->second;
+  const CallRecord &Record = It->second;
   for (Run &R : It->second.Runs)
     if (R.Upstream == Upstream && !R.End)
-      R.End = How;
-  // Longer than any bound on a departure, shorter than the streams that
-  // callers leave.
-  constexpr Duration LongAfter = std::chrono::milliseconds(1500);
-  if (Bounds.Timed && How == RunEnd::Whole && C.LeftAt &&
-      Now - *C.LeftAt > LongAfter && undisturbedSince(C.SentAt))
-    violate("GONE", RequestId, "the upstream worked on to the end");
+      R.End = End;
+  // Longer than the bound on disconnects, shorter than the streams whose
+  // callers disconnect.
+  constexpr Duration MaxRunAfterDisconnect = std::chrono::milliseconds(1500);
+  if (Bounds.Timed && End == RunEnd::Whole && Record.DisconnectedAt &&
+      Now - *Record.DisconnectedAt > MaxRunAfterDisconnect &&
+      undisturbedSince(Record.SentAt))
+    addViolation(
+        "GONE", RequestId,
+        "the upstream completed the run long after the caller disconnected");
 }
 
-void PromiseOracle::onViolation(const std::string &Upstream,
-                                const std::string &What) {
+void GuaranteeOracle::onViolation(const std::string &Upstream,
+                                  const std::string &Details) {
   const std::lock_guard Lock(Mutex);
-  violate("LIMIT", "", "upstream=" + Upstream + " " + What);
+  addViolation("LIMIT", "", "upstream=" + Upstream + " " + Details);
 }
 
-void PromiseOracle::onUpstreamCrash(const std::string &Upstream) {
+void GuaranteeOracle::onUpstreamCrash(const std::string &Upstream) {
   const std::lock_guard Lock(Mutex);
-  for (auto &[Id, C] : Calls)
-    for (Run &R : C.Runs)
+  for (auto &[Id, Record] : Calls)
+    for (Run &R : Record.Runs)
       if (R.Upstream == Upstream && !R.End)
         R.Lost = true;
 }
 
-void PromiseOracle::onConfiguration(Time Now, bool Extra) {
+void GuaranteeOracle::onConfiguration(Time Now, bool Extra) {
   const std::lock_guard Lock(Mutex);
-  if (Extra == HasExtra)
+  if (Extra == HasExtraRoute)
     return;
-  HasExtra = Extra;
+  HasExtraRoute = Extra;
   ConfiguredAt = Now;
 }
 
-void PromiseOracle::onDisturbed(Time Now, size_t Entry) {
+void GuaranteeOracle::onDisturbed(Time Now, size_t Entry) {
   const std::lock_guard Lock(Mutex);
   DisturbedAt[Entry] = Now;
 }
 
-void PromiseOracle::beginUndisturbed(Time Now) {
+void GuaranteeOracle::beginUndisturbed(Time Now) {
   const std::lock_guard Lock(Mutex);
   UndisturbedSince = Now;
 }
 
-void PromiseOracle::endUndisturbed() {
+void GuaranteeOracle::endUndisturbed() {
   const std::lock_guard Lock(Mutex);
   UndisturbedSince.reset();
 }
 
-void PromiseOracle::report(const std::string &What) {
+void GuaranteeOracle::report(const std::string &Details) {
   const std::lock_guard Lock(Mutex);
-  violate("PROCESS", "", What);
+  addViolation("PROCESS", "", Details);
 }
 
-void PromiseOracle::judgeRetryBudget() {
+void GuaranteeOracle::checkRetryBudget() {
   std::stable_sort(
       Arrivals.begin(), Arrivals.end(),
       [](const Arrival &A, const Arrival &B) { return A.At < B.At; });
   for (const std::string_view Service : {"engines", "plain"}) {
     std::vector<Time> First;
-    std::vector<Time> Again;
+    std::vector<Time> Repeated;
     for (const Arrival &A : Arrivals)
       if (A.Service == Service)
-        (A.First ? First : Again).push_back(A.At);
+        (A.IsFirst ? First : Repeated).push_back(A.At);
     const auto Within = [](const std::vector<Time> &All, Time From, Time To) {
       return std::lower_bound(All.begin(), All.end(), To) -
              std::lower_bound(All.begin(), All.end(), From);
     };
-    for (const Time T : Again) {
-      const Time End = T + Bounds.RetryWindow;
-      const auto Repeats = static_cast<double>(Within(Again, T, End));
-      const auto Requests = static_cast<double>(std::max(
-          {Within(First, T, End), Within(First, T - Bounds.RetryWindow, T),
-           Within(First, T - Bounds.RetryWindow / 2,
-                  T + Bounds.RetryWindow / 2)}));
+    // The repeats of the window from Begin are allowed for by the first
+    // arrivals of the window after, before or around Begin, whichever has most.
+    for (const Time Begin : Repeated) {
+      const Time End = Begin + Bounds.RetryWindow;
+      const auto Repeats = static_cast<double>(Within(Repeated, Begin, End));
+      const auto Requests = static_cast<double>(
+          std::max({Within(First, Begin, End),
+                    Within(First, Begin - Bounds.RetryWindow, Begin),
+                    Within(First, Begin - Bounds.RetryWindow / 2,
+                           Begin + Bounds.RetryWindow / 2)}));
       if (Repeats <= Bounds.RetryRatio * Requests + Bounds.RetrySlack)
         continue;
-      violate("BUDGET", "",
-              "service=" + std::string(Service) +
-                  " repeats=" + std::to_string(Repeats) +
-                  " requests=" + std::to_string(Requests));
+      addViolation("BUDGET", "",
+                   "service=" + std::string(Service) +
+                       " repeats=" + std::to_string(Repeats) +
+                       " requests=" + std::to_string(Requests));
       break;
     }
   }
 }
 
-void PromiseOracle::finish() {
+void GuaranteeOracle::finish() {
   const std::lock_guard Lock(Mutex);
-  for (const auto &[Id, C] : Calls)
-    if (!C.Answered)
-      violate("ANSWER", Id, "the call never ended");
-  judgeRetryBudget();
+  for (const auto &[Id, Record] : Calls)
+    if (!Record.Answered)
+      addViolation("ANSWER", Id, "the call never ended");
+  checkRetryBudget();
   if (UndisturbedCalls > 0 &&
       static_cast<double>(UndisturbedServed) <
-          Bounds.ServedShare * static_cast<double>(UndisturbedCalls))
-    violate("RECOVER", "",
-            "served=" + std::to_string(UndisturbedServed) +
-                " calls=" + std::to_string(UndisturbedCalls));
+          Bounds.MinServedShare * static_cast<double>(UndisturbedCalls))
+    addViolation("RECOVER", "",
+                 "served=" + std::to_string(UndisturbedServed) +
+                     " calls=" + std::to_string(UndisturbedCalls));
 }
 
-std::vector<std::string> PromiseOracle::violations() const {
+std::vector<std::string> GuaranteeOracle::violations() const {
   const std::lock_guard Lock(Mutex);
-  return Found;
+  return Violations;
 }
 
-std::map<std::string, size_t> PromiseOracle::outcomes() const {
+std::map<std::string, size_t> GuaranteeOracle::outcomes() const {
   const std::lock_guard Lock(Mutex);
   return Outcomes;
 }
 
-double PromiseOracle::servedShareUndisturbed() const {
+double GuaranteeOracle::servedShareUndisturbed() const {
   const std::lock_guard Lock(Mutex);
   return UndisturbedCalls == 0 ? 0
                                : static_cast<double>(UndisturbedServed) /
--- a/soak/promise_oracle.h
+++ b/soak/promise_oracle.h
@@ -1,12 +1,15 @@
-// Judges the promises made to callers from what callers and upstreams saw, as
-// it happens: an answer belongs to its request and was run, work that may not
-// be repeated runs once, a refusal is true, streams are in order and whole.
-// What has a bound in time is judged only while nothing disturbs the system.
+// Test oracle that checks the guarantees given to callers, from the events that
+// callers and upstreams report while the soak runs: each answer belongs to its
+// request and was produced by an upstream, a request that must not be repeated
+// runs at most once, a request that was refused as not run has not run, and
+// streams are in order and complete. Time bounds are checked only while no
+// fault is injected.
 //
-//   PromiseOracle O(OracleBounds{});
-//   O.onSent(Now, {"r1", CallKind::Once, "/once/x", "body"});
-//   O.onAnswer(Now, "r1", Answer);
-//   for (const std::string &V : O.violations()) ...
+//   GuaranteeOracle Oracle(OracleBounds{});
+//   Oracle.onSent(Now, {"r1", CallKind::Once, 0, "/once/x", "body"});
+//   Oracle.onAnswer(Now, "r1", Answer);
+//   Oracle.finish();
+//   for (const std::string &Violation : Oracle.violations()) ...
 #ifndef GOLDCRESTLINK_SOAK_PROMISE_ORACLE_H
 #define GOLDCRESTLINK_SOAK_PROMISE_ORACLE_H
 
@@ -20,86 +23,104 @@
 
 namespace goldcrestlink::soak {
 
-/// Once may run once; Read may be repeated; Stream is not resumable; Extra is
-/// Read on a route that configurations add and drop.
+/// Once may run at most once; Read may be repeated; Stream cannot be resumed;
+/// Extra is Read on a route that only some configurations contain.
 enum class CallKind { Once, Read, Stream, Extra };
 
-/// How a call ended for its caller.
-enum class CallEnd { Whole, Broken, Unanswered, LeftByCaller };
+/// How a call ended for its caller: with a complete answer, with a connection
+/// that broke, without an answer in time, or because the caller disconnected.
+enum class CallEnd { Complete, Broken, Unanswered, CallerDisconnected };
 
 struct SentCall {
   std::string Id;
   CallKind Kind = CallKind::Read;
+  /// Index of the entry that it was sent to.
   size_t Entry = 0;
   std::string Target;
   std::string Body;
 };
 
-struct SeenAnswer {
+struct ObservedAnswer {
   CallEnd End = CallEnd::Broken;
-  /// 0 if no head came.
+  /// 0 if no response head arrived.
   unsigned Status = 0;
   std::string RequestId;
+  /// Set by the upstream; empty if the entry itself answered.
   std::string Signature;
   bool HasRetryAfter = false;
   std::string Body;
 };
 
-/// From the platform's rules and the settings of the processes under test.
+/// Taken from the platform's rules and the settings of the processes under
+/// test.
 struct OracleBounds {
-  /// False where the machine may be too busy for any bound in time.
+  /// False disables all time bounds, for machines that may be too busy to meet
+  /// them.
   bool Timed = true;
+  /// How long requests may still reach an upstream after it starts to drain or
+  /// is removed.
   Duration Drain = std::chrono::seconds(2);
+  /// How long after a release a superseded adapter version may still run.
   Duration Version = std::chrono::seconds(5);
+  /// How long a new configuration may take to apply at all entries.
   Duration Configuration = std::chrono::seconds(2);
-  /// After the last byte of a request that is cut without being passed on.
+  /// How long after a request is sent its connection may still be closed
+  /// without the request having been forwarded.
   Duration LossSlack = std::chrono::milliseconds(500);
-  /// For a caller's departure to reach the upstream.
-  Duration Departure = std::chrono::milliseconds(500);
+  /// How long after a caller disconnects its request may still reach an
+  /// upstream.
+  Duration Disconnect = std::chrono::milliseconds(500);
   size_t MaxAttempts = testing::PlatformStandIn::MaxAttempts;
+  /// Per service, within any RetryWindow: repeats may be at most RetryRatio
+  /// times the first attempts, plus RetrySlack.
   double RetryRatio = 0.2;
   double RetrySlack = 20;
   Duration RetryWindow = std::chrono::seconds(10);
-  /// Less than this share of calls served, with nothing disturbed, is no
-  /// recovery.
-  double ServedShare = 0.25;
+  /// If a smaller share of the calls sent during undisturbed phases is served,
+  /// the system has not recovered.
+  double MinServedShare = 0.25;
 };
 
 /// Thread-safe.
-class PromiseOracle : public testing::UpstreamObserver {
+class GuaranteeOracle : public testing::UpstreamObserver {
 public:
-  explicit PromiseOracle(OracleBounds B) : Bounds(B) {}
+  explicit GuaranteeOracle(OracleBounds InBounds) : Bounds(InBounds) {}
 
-  void onSent(Time Now, SentCall C);
-  void onAnswer(Time Now, const std::string &Id, const SeenAnswer &A);
+  void onSent(Time Now, SentCall Call);
+  void onAnswer(Time Now, const std::string &Id, const ObservedAnswer &Answer);
 
-  void onRun(const testing::RunSeen &R) override;
+  void onRun(const testing::RunSeen &Observed) override;
   void onRunEnd(Time Now, const std::string &RequestId,
-                const std::string &Upstream, testing::RunEnd How) override;
+                const std::string &Upstream, testing::RunEnd End) override;
   void onViolation(const std::string &Upstream,
-                   const std::string &What) override;
-  /// What the upstream ran has ended with it.
+                   const std::string &Details) override;
+  /// Marks the runs in progress at \p Upstream as lost.
   void onUpstreamCrash(const std::string &Upstream);
-  /// A configuration was acknowledged that has the route of Extra, or not.
-  void onConfiguration(Time Now, bool HasExtra);
-  /// Calls through a disturbed entry may stay unanswered.
+  /// The platform accepted a configuration; \p Extra tells whether it
+  /// contains the route of Extra.
+  void onConfiguration(Time Now, bool Extra);
+  /// A fault that affects \p Entry began or ended. Calls sent through it before
+  /// \p Now may stay unanswered.
   void onDisturbed(Time Now, size_t Entry);
-  /// From \p Now on nothing disturbs the system, until endUndisturbed().
+  /// No fault is injected from \p Now until endUndisturbed().
   void beginUndisturbed(Time Now);
   void endUndisturbed();
-  /// A finding of the harness itself, such as a process that ended.
-  void report(const std::string &What);
-  /// Judges what only the whole shows. Precondition: all calls have ended.
+  /// Adds a violation that the harness found, such as a process that ended.
+  void report(const std::string &Details);
+  /// Runs the checks that need all events: that each call ended, the retry
+  /// budget and the share of calls served. Precondition: no call is in
+  /// progress.
   void finish();
 
   std::vector<std::string> violations() const;
-  /// Calls by how they ended and their status, for the report.
+  /// Number of calls by how they ended and their status, for the report.
   std::map<std::string, size_t> outcomes() const;
   double servedShareUndisturbed() const;
 
 private:
   struct Run {
     std::string Upstream;
+    /// The upstream crashed before the run ended.
     bool Lost = false;
     std::optional<testing::RunEnd> End;
   };
@@ -108,43 +129,50 @@
     Time SentAt{};
     bool SentUndisturbed = false;
     bool Answered = false;
+    /// Whether it has reached an upstream.
     bool Arrived = false;
     bool RefusedAsNotRun = false;
-    std::optional<Time> LeftAt;
+    std::optional<Time> DisconnectedAt;
     std::vector<Run> Runs;
   };
+  /// A request that reached an upstream, whether it ran or was rejected.
   struct Arrival {
     Time At;
     std::string Service;
-    bool First;
+    /// False if the request had reached an upstream before.
+    bool IsFirst;
   };
 
-  void violate(const std::string &Rule, const std::string &Id,
-               const std::string &What);
-  void judgeAnswer(Time Now, CallRecord &C, const SeenAnswer &A);
-  void judgeSuccess(const CallRecord &C, const SeenAnswer &A);
-  void judgeOwnAnswer(CallRecord &C, const SeenAnswer &A);
-  void judgeUnfinished(Time Now, const CallRecord &C, const SeenAnswer &A);
-  void judgeStream(const CallRecord &C, const SeenAnswer &A);
-  void judgeRun(const CallRecord &C, const testing::RunSeen &R);
-  void judgeAttempts(const CallRecord &C);
-  void judgeRetryBudget();
-  bool undisturbedSince(Time T) const {
-    return UndisturbedSince && *UndisturbedSince <= T;
+  void addViolation(const std::string &Rule, const std::string &Id,
+                    const std::string &Details);
+  void checkAnswer(Time Now, CallRecord &Record, const ObservedAnswer &Answer);
+  void checkSuccess(const CallRecord &Record, const ObservedAnswer &Answer);
+  void checkEntryAnswer(CallRecord &Record, const ObservedAnswer &Answer);
+  void checkUnfinished(Time Now, const CallRecord &Record,
+                       const ObservedAnswer &Answer);
+  void checkStream(const CallRecord &Record, const ObservedAnswer &Answer);
+  void checkRun(const CallRecord &Record, const testing::RunSeen &Observed);
+  void checkAttempts(const CallRecord &Record);
+  void checkRetryBudget();
+  bool undisturbedSince(Time From) const {
+    return UndisturbedSince && *UndisturbedSince <= From;
   }
-  /// Whether the configuration was in force everywhere when it was sent.
-  bool routeIsCertain(const CallRecord &C) const;
+  /// Whether the current configuration must have been applied at all entries
+  /// before the call was sent.
+  bool routeIsSettled(const CallRecord &Record) const;
 
   const OracleBounds Bounds;
   mutable std::mutex Mutex;
   std::unordered_map<std::string, CallRecord> Calls;
   std::map<std::string, size_t> Outcomes;
-  std::vector<std::string> Found;
+  std::vector<std::string> Violations;
   std::vector<Arrival> Arrivals;
   std::optional<Time> UndisturbedSince;
+  /// By entry: when a fault that affects it last began or ended.
   std::map<size_t, Time> DisturbedAt;
+  /// When the route of Extra was last added or removed.
   Time ConfiguredAt{};
-  bool HasExtra = false;
+  bool HasExtraRoute = false;
   size_t UndisturbedCalls = 0;
   size_t UndisturbedServed = 0;
 };
--- a/soak/schedule.cc
+++ b/soak/schedule.cc
@@ -1,6 +1,7 @@
-// The fault phase is a number of episodes that begin at random moments and last
-// for random times, so that they overlap; each ends within the phase. One
-// episode in three repeats its kind on the same target soon after, as a series.
+// The fault phase consists of episodes with random start times and durations,
+// so that they overlap; each ends within the phase. With a probability of one
+// in three an episode is followed by a second one of the same kind on the same
+// target.
 #include "soak/schedule.h"
 
 #include <algorithm>
@@ -18,7 +19,7 @@
 
 using std::chrono::milliseconds;
 
-constexpr std::array<std::string_view, 25> Names = {
+constexpr std::array<std::string_view, 25> ActionNames = {
     "link_faulty",     "link_healed",     "link_reset",     "link_silenced",
     "pause",           "resume",          "kill",           "terminate",
     "start",           "reload",          "upstream_crash", "upstream_start",
@@ -29,24 +30,25 @@
 
 constexpr int MinEpisodes = 4;
 constexpr int MaxEpisodes = 14;
-constexpr int MinLastsMs = 200;
-constexpr int MaxLastsMs = 3000;
-constexpr int MaxSeriesGapMs = 700;
+constexpr int MinEpisodeMs = 200;
+constexpr int MaxEpisodeMs = 3000;
+constexpr int MaxRepeatDelayMs = 700;
 
-class Drawing {
+class ScheduleGenerator {
 public:
-  Drawing(uint64_t Seed, const Shape &Of) : Luck(Seed), Of(Of) {}
+  ScheduleGenerator(uint64_t Seed, const SoakShape &Shape)
+      : Rand(Seed), Shape(Shape) {}
 
   std::vector<Step> faults() {
     Steps.clear();
     const int Count = between(MinEpisodes, MaxEpisodes);
     for (int I = 0; I < Count; ++I) {
-      const Duration Begin = randomTime(FaultTime * 3 / 4);
-      const auto Episode = Episodes[Luck.below(Episodes.size())];
-      const size_t Target = Luck.next() >> 8;
+      const Duration Begin = randomTime(FaultPhaseLength * 3 / 4);
+      const auto Episode = EpisodeKinds[Rand.below(EpisodeKinds.size())];
+      const size_t Target = Rand.next() >> 8;
       (this->*Episode)(Begin, Target);
-      if (Luck.below(3) == 0)
-        (this->*Episode)(Begin + milliseconds(between(0, MaxSeriesGapMs)),
+      if (Rand.below(3) == 0)
+        (this->*Episode)(Begin + milliseconds(between(0, MaxRepeatDelayMs)),
                          Target);
     }
     return sorted();
@@ -54,48 +56,50 @@
 
   std::vector<Step> planned() {
     Steps.clear();
-    const size_t Engine = Luck.below(Of.Engines);
-    const size_t Process = Luck.below(Of.processes());
+    const size_t Engine = Rand.below(Shape.Engines);
+    const size_t Process = Rand.below(Shape.processes());
     add(milliseconds(200), Action::Configure, 0, between(0, 1));
-    const int Released = between(300, 2000);
-    add(milliseconds(Released), Action::Release, Luck.below(AdapterCount));
-    const int Reloaded = between(300, 2500);
-    add(milliseconds(Reloaded), Action::Reload, Luck.below(Of.processes()));
-    const int Drained = between(300, 2500);
-    add(milliseconds(Drained),
-        Luck.below(2) == 0 ? Action::Drain : Action::Remove, Engine);
-    // It serves on for longer than the platform promises.
-    add(milliseconds(Drained + 4500), Action::UpstreamCrash, Engine);
-    add(milliseconds(Drained + 5000), Action::UpstreamStart, Engine,
+    const int ReleaseMs = between(300, 2000);
+    add(milliseconds(ReleaseMs), Action::Release, Rand.below(AdapterCount));
+    const int ReloadMs = between(300, 2500);
+    add(milliseconds(ReloadMs), Action::Reload, Rand.below(Shape.processes()));
+    const int DrainMs = between(300, 2500);
+    add(milliseconds(DrainMs),
+        Rand.below(2) == 0 ? Action::Drain : Action::Remove, Engine);
+    // The engine keeps serving for longer after the drain than the platform
+    // guarantees.
+    add(milliseconds(DrainMs + 4500), Action::UpstreamCrash, Engine);
+    add(milliseconds(DrainMs + 5000), Action::UpstreamStart, Engine,
         between(0, 1));
-    const int Stopped = between(300, 3000);
-    add(milliseconds(Stopped), Action::Terminate, Process);
-    add(milliseconds(Stopped + between(0, 5000)), Action::Start, Process);
-    const int Configured = between(2300, 4000);
-    add(milliseconds(Configured), Action::Configure, 0, between(0, 1));
+    const int StopMs = between(300, 3000);
+    add(milliseconds(StopMs), Action::Terminate, Process);
+    add(milliseconds(StopMs + between(0, 5000)), Action::Start, Process);
+    const int ConfigureMs = between(2300, 4000);
+    add(milliseconds(ConfigureMs), Action::Configure, 0, between(0, 1));
     return sorted();
   }
 
 private:
-  using Episode = void (Drawing::*)(Duration Begin, size_t Target);
+  using Episode = void (ScheduleGenerator::*)(Duration Begin, size_t Target);
 
-  int between(int Least, int Most) {
-    return Least + static_cast<int>(
-                       Luck.below(static_cast<uint64_t>(Most - Least) + 1));
+  int between(int Min, int Max) {
+    return Min +
+           static_cast<int>(Rand.below(static_cast<uint64_t>(Max - Min) + 1));
   }
 
   Duration randomTime(Duration Below) {
     return Duration(
-        static_cast<int64_t>(Luck.below(static_cast<uint64_t>(Below.count()))));
+        static_cast<int64_t>(Rand.below(static_cast<uint64_t>(Below.count()))));
   }
 
-  Duration end(Duration Begin) {
+  Duration randomEnd(Duration Begin) {
     return std::min<Duration>(
-        Begin + milliseconds(between(MinLastsMs, MaxLastsMs)), FaultTime);
+        Begin + milliseconds(between(MinEpisodeMs, MaxEpisodeMs)),
+        FaultPhaseLength);
   }
 
-  void add(Duration At, Action What, size_t Target = 0, int Variant = 0) {
-    Steps.push_back({At, What, Target, Variant});
+  void add(Duration At, Action Kind, size_t Target = 0, int Variant = 0) {
+    Steps.push_back({At, Kind, Target, Variant});
   }
 
   std::vector<Step> sorted() {
@@ -105,57 +109,55 @@
   }
 
   void linkFault(Duration Begin, size_t Target) {
-    const size_t Link = Target % Of.links();
+    const size_t Link = Target % Shape.links();
     add(Begin, Action::LinkFaulty, Link,
         between(1, static_cast<int>(LinkFault::Silent)));
-    add(end(Begin), Action::LinkHealed, Link);
+    add(randomEnd(Begin), Action::LinkHealed, Link);
   }
   void linkReset(Duration Begin, size_t Target) {
-    add(Begin, Action::LinkReset, Target % Of.links());
+    add(Begin, Action::LinkReset, Target % Shape.links());
   }
   void linkSilenced(Duration Begin, size_t Target) {
-    add(Begin, Action::LinkSilenced, Target % Of.links());
+    add(Begin, Action::LinkSilenced, Target % Shape.links());
   }
   void pause(Duration Begin, size_t Target) {
-    add(Begin, Action::Pause, Target % Of.processes());
-    add(end(Begin), Action::Resume, Target % Of.processes());
+    add(Begin, Action::Pause, Target % Shape.processes());
+    add(randomEnd(Begin), Action::Resume, Target % Shape.processes());
   }
   void kill(Duration Begin, size_t Target) {
-    add(Begin, Action::Kill, Target % Of.processes());
-    add(end(Begin), Action::Start, Target % Of.processes());
+    add(Begin, Action::Kill, Target % Shape.processes());
+    add(randomEnd(Begin), Action::Start, Target % Shape.processes());
   }
   void terminate(Duration Begin, size_t Target) {
-    add(Begin, Action::Terminate, Target % Of.processes());
-    add(end(Begin), Action::Start, Target % Of.processes());
+    add(Begin, Action::Terminate, Target % Shape.processes());
+    add(randomEnd(Begin), Action::Start, Target % Shape.processes());
   }
   void reload(Duration Begin, size_t Target) {
-    add(Begin, Action::Reload, Target % Of.processes());
+    add(Begin, Action::Reload, Target % Shape.processes());
   }
   void upstreamCrash(Duration Begin, size_t Target) {
-    const size_t Upstream = Target % Of.upstreams();
+    const size_t Upstream = Target % Shape.upstreams();
     add(Begin, Action::UpstreamCrash, Upstream);
-    const Duration Back = end(Begin);
-    add(Back, Action::UpstreamStart, Upstream, between(0, 1));
+    const Duration Restart = randomEnd(Begin);
+    add(Restart, Action::UpstreamStart, Upstream, between(0, 1));
   }
   void upstreamFault(Duration Begin, size_t Target) {
-    const size_t Upstream = Target % Of.upstreams();
+    const size_t Upstream = Target % Shape.upstreams();
     add(Begin, Action::UpstreamFaulty, Upstream,
         between(1, static_cast<int>(testing::UpstreamFault::Torn)));
-    add(end(Begin), Action::UpstreamHealed, Upstream);
+    add(randomEnd(Begin), Action::UpstreamHealed, Upstream);
   }
-  void leave(Duration Begin, size_t Target) {
-    const size_t Upstream = Target % Of.upstreams();
-    add(Begin, Luck.below(2) == 0 ? Action::Drain : Action::Remove, Upstream);
-    add(end(Begin), Action::Restore, Upstream);
+  void drainOrRemove(Duration Begin, size_t Target) {
+    const size_t Upstream = Target % Shape.upstreams();
+    add(Begin, Rand.below(2) == 0 ? Action::Drain : Action::Remove, Upstream);
+    add(randomEnd(Begin), Action::Restore, Upstream);
   }
   void storeFault(Duration Begin, size_t) {
     add(Begin, Action::StoreFaulty, 0,
         between(1, static_cast<int>(testing::StoreFault::Torn)));
-    add(end(Begin), Action::StoreHealed);
-  }
-  void historyDropped(Duration Begin, size_t) {
-    add(Begin, Action::DropHistory);
+    add(randomEnd(Begin), Action::StoreHealed);
   }
+  void dropHistory(Duration Begin, size_t) { add(Begin, Action::DropHistory); }
   void garbage(Duration Begin, size_t) { add(Begin, Action::Garbage); }
   void release(Duration Begin, size_t Target) {
     add(Begin, Action::Release, Target % AdapterCount);
@@ -165,48 +167,54 @@
   }
   void burst(Duration Begin, size_t) {
     add(Begin, Action::Burst);
-    add(end(Begin), Action::BurstOver);
-  }
-
-  static constexpr std::array<Episode, 17> Episodes = {
-      &Drawing::linkFault,      &Drawing::linkFault, &Drawing::linkReset,
-      &Drawing::linkSilenced,   &Drawing::pause,     &Drawing::kill,
-      &Drawing::terminate,      &Drawing::reload,    &Drawing::upstreamCrash,
-      &Drawing::upstreamFault,  &Drawing::leave,     &Drawing::storeFault,
-      &Drawing::historyDropped, &Drawing::garbage,   &Drawing::release,
-      &Drawing::configure,      &Drawing::burst};
-
-  Random Luck;
-  Shape Of;
+    add(randomEnd(Begin), Action::BurstOver);
+  }
+
+  static constexpr std::array<Episode, 17> EpisodeKinds = {
+      &ScheduleGenerator::linkFault,     &ScheduleGenerator::linkFault,
+      &ScheduleGenerator::linkReset,     &ScheduleGenerator::linkSilenced,
+      &ScheduleGenerator::pause,         &ScheduleGenerator::kill,
+      &ScheduleGenerator::terminate,     &ScheduleGenerator::reload,
+      &ScheduleGenerator::upstreamCrash, &ScheduleGenerator::upstreamFault,
+      &ScheduleGenerator::drainOrRemove, &ScheduleGenerator::storeFault,
+      &ScheduleGenerator::dropHistory,   &ScheduleGenerator::garbage,
+      &ScheduleGenerator::release,       &ScheduleGenerator::configure,
+      &ScheduleGenerator::burst};
+
+  Random Rand;
+  SoakShape Shape;
   std::vector<Step> Steps;
 };
 
 void describePhase(std::ostringstream &Out, std::string_view Phase,
                    const std::vector<Step> &Steps) {
   for (const Step &S : Steps)
-    Out << Phase << " at_ms=" << S.At.count() / 1000 << " " << nameOf(S.What)
+    Out << Phase << " at_ms=" << S.At.count() / 1000 << " " << nameOf(S.Kind)
         << " target=" << S.Target << " variant=" << S.Variant << "\n";
 }
 
 } // namespace
 
-std::string_view nameOf(Action A) { return Names[static_cast<size_t>(A)]; }
+std::string_view nameOf(Action Kind) {
+  return ActionNames[static_cast<size_t>(Kind)];
+}
 
-Schedule drawSchedule(uint64_t Seed, const Shape &Of, size_t Rounds) {
-  Drawing D(Seed, Of);
+Schedule generateSchedule(uint64_t Seed, const SoakShape &Shape,
+                          size_t Rounds) {
+  ScheduleGenerator Generator(Seed, Shape);
   Schedule Out;
   for (size_t I = 0; I < Rounds; ++I) {
     Round R;
-    R.Faults = D.faults();
-    R.Planned = D.planned();
+    R.Faults = Generator.faults();
+    R.Planned = Generator.planned();
     Out.push_back(std::move(R));
   }
   return Out;
 }
 
-std::string describe(const Schedule &S) {
+std::string describe(const Schedule &Plan) {
   std::ostringstream Out;
-  for (const Round &R : S) {
+  for (const Round &R : Plan) {
     describePhase(Out, "faults", R.Faults);
     describePhase(Out, "planned", R.Planned);
   }
--- a/soak/schedule.h
+++ b/soak/schedule.h
@@ -1,9 +1,10 @@
-// What a soak does and when, drawn from a seed: rounds of overlapping faults
-// and, after each has healed, planned work that nothing disturbs. The same seed
-// and shape give the same schedule.
+// Generates the schedule of a soak from a seed: rounds that each consist of a
+// phase of overlapping faults and, once these have ended, a phase of planned
+// operations without other faults. The same seed and shape give the same
+// schedule.
 //
-//   Schedule S = drawSchedule(7, Shape(), 2);
-//   std::cout << describe(S);
+//   Schedule Plan = generateSchedule(7, SoakShape(), 2);
+//   std::cout << describe(Plan);
 #ifndef GOLDCRESTLINK_SOAK_SCHEDULE_H
 #define GOLDCRESTLINK_SOAK_SCHEDULE_H
 
@@ -15,30 +16,32 @@
 
 namespace goldcrestlink::soak {
 
-/// How many of each there are.
-struct Shape {
+/// Size and settings of the deployment under test.
+struct SoakShape {
   size_t Entries = 3;
   size_t Engines = 4;
   size_t Plains = 2;
-  /// How long an entry may take to stop; the deployments' sheets say 8.
+  /// How long an entry may take to stop; 8 is the value in the
+  /// deployment sheets.
   int StopSeconds = 8;
 
-  /// Processes under test: entries first, then a side per engine.
+  /// Number of processes under test: the entries first, then a side per engine.
   size_t processes() const { return Entries + Engines; }
-  /// Links: to each entry from callers, then from other entries; from each
-  /// entry to the store; to each engine, then to each side; to each plain
-  /// service.
+  /// Number of links, in this order: from callers to each entry; from other
+  /// entries to each entry; from each entry to the store; to each engine; to
+  /// each side; to each plain service.
   size_t links() const { return 3 * Entries + 2 * Engines + Plains; }
-  /// Engines first, then plain services.
+  /// Number of upstreams: the engines first, then plain services.
   size_t upstreams() const { return Engines + Plains; }
 };
 
-/// Adapters "a0" and so on that callers ask for and releases are drawn from.
+/// Adapters are named "a0" to "a11"; calls and releases choose among them.
 constexpr size_t AdapterCount = 12;
 
-/// Target counts processes, links, upstreams or adapters, by the action.
+/// Step::Target is the number of a process, link, upstream or adapter,
+/// depending on the action.
 enum class Action {
-  // Links; Variant of LinkFaulty is a LinkFault.
+  // Links; the Variant of LinkFaulty is a LinkFault.
   LinkFaulty,
   LinkHealed,
   LinkReset,
@@ -50,8 +53,8 @@
   Terminate,
   Start,
   Reload,
-  // Upstreams; Variant of UpstreamFaulty is an UpstreamFault, that of
-  // UpstreamStart is 1 for another id at the same address.
+  // Upstreams; the Variant of UpstreamFaulty is an UpstreamFault, and that of
+  // UpstreamStart is 1 to start under a new id at the same address.
   UpstreamCrash,
   UpstreamStart,
   UpstreamFaulty,
@@ -59,29 +62,31 @@
   Drain,
   Restore,
   Remove,
-  // The store; Variant of StoreFaulty is a StoreFault.
+  // The store; the Variant of StoreFaulty is a StoreFault.
   StoreFaulty,
   StoreHealed,
   DropHistory,
   Garbage,
-  // Changes and load.
+  // Releases, configurations and load; the Variant of Configure is 1 for a
+  // configuration with the route of CallKind::Extra.
   Release,
   Configure,
   Burst,
   BurstOver,
 };
 
-std::string_view nameOf(Action A);
+/// The name of \p Kind in schedules and logs.
+std::string_view nameOf(Action Kind);
 
 struct Step {
-  /// Since the phase began.
+  /// Time since the phase began.
   Duration At{};
-  Action What = Action::Garbage;
+  Action Kind = Action::Garbage;
   size_t Target = 0;
   int Variant = 0;
 };
 
-/// Steps in the order of their time.
+/// The steps of each phase, ordered by time.
 struct Round {
   std::vector<Step> Faults;
   std::vector<Step> Planned;
@@ -89,14 +94,15 @@
 
 using Schedule = std::vector<Round>;
 
-/// How long faults go on, and planned work with what follows from it.
-constexpr Duration FaultTime = std::chrono::seconds(6);
-constexpr Duration PlannedTime = std::chrono::seconds(10);
+/// Lengths of the phases; the planned phase includes the time in which planned
+/// operations take effect.
+constexpr Duration FaultPhaseLength = std::chrono::seconds(6);
+constexpr Duration PlannedPhaseLength = std::chrono::seconds(10);
 
-Schedule drawSchedule(uint64_t Seed, const Shape &Of, size_t Rounds);
+Schedule generateSchedule(uint64_t Seed, const SoakShape &Shape, size_t Rounds);
 
-/// One line a step: phase, milliseconds, action, target, variant.
-std::string describe(const Schedule &S);
+/// One line per step: phase, milliseconds, action, target, variant.
+std::string describe(const Schedule &Plan);
 
 } // namespace goldcrestlink::soak
 
--- a/soak/soak.cc
+++ b/soak/soak.cc
@@ -1,11 +1,12 @@
-// The fault soak: real processes under drawn faults, judged from outside.
+// Fault-injection soak test: runs real processes under random faults and checks
+// their guarantees from the outside.
 //
 //   build/soak --seed 7 --rounds 2
 //   build/soak --seed 1 --seeds 50
 //
-// Each round has overlapping faults, a wait until all entries serve again, and
-// planned work with nothing else going on. Exits with 1 if a promise was
-// broken; then the folder with logs and settings stays.
+// Each round consists of overlapping faults, a wait until all entries serve
+// again, and planned operations without other faults. Exits with 1 if a
+// guarantee was violated; the folder with logs and settings is then kept.
 #include <algorithm>
 #include <filesystem>
 #include <fstream>
@@ -21,21 +22,21 @@
 
 namespace {
 
-// The platform's own time for machines to be back after a fault.
-constexpr double RecoverSeconds = 12;
-// Where bounds in time are not judged, what has to come is awaited this long,
-// so that a busy machine does not change the verdict.
-constexpr double UntimedPatience = 120;
-constexpr int UntimedSeconds = 60;
-// After the last fault, until the platform counts a machine as in touch.
-constexpr int ContactMs = 3000;
-constexpr int RetryStepMs = 100;
+// Time that the platform allows an instance to recover after a fault.
+constexpr double RecoveryTimeoutSeconds = 12;
+// With --untimed, the limits on waits are this long, so that a busy machine
+// does not change the result.
+constexpr double UntimedRecoveryTimeoutSeconds = 120;
+constexpr int UntimedLimitSeconds = 60;
+// Time after the last fault until the platform counts an instance as connected.
+constexpr int ReconnectWaitMs = 3000;
+constexpr int RetryStepDelayMs = 100;
 
 struct Options {
   uint64_t Seed = 1;
   size_t Seeds = 1;
   size_t Rounds = 1;
-  Shape Of;
+  SoakShape Shape;
   double Rate = 60;
   bool Untimed = false;
   bool PrintSchedule = false;
@@ -45,142 +46,150 @@
 
 class Soak {
 public:
-  Soak(const Options &O, const std::filesystem::path &Folder)
-      : O(O), Plan(drawSchedule(O.Seed, O.Of, O.Rounds)),
-        Judge(OracleBounds{.Timed = !O.Untimed}), Fleet(O.Of, Judge, Folder),
-        Load(Fleet.entries(), Judge, O.Seed, callersOptions(O)) {}
+  Soak(const Options &Opts, const std::filesystem::path &Folder)
+      : Opts(Opts),
+        Rounds(generateSchedule(Opts.Seed, Opts.Shape, Opts.Rounds)),
+        Oracle(OracleBounds{.Timed = !Opts.Untimed}),
+        Fleet(Opts.Shape, Oracle, Folder),
+        Traffic(Fleet.entries(), Oracle, Opts.Seed, callersOptions(Opts)) {}
 
   std::vector<std::string> run() {
-    awaitServed();
-    for (const Round &R : Plan) {
-      play(R.Faults, FaultTime);
-      Fleet.healAll(now(), Load);
-      awaitServed();
-      testing::pauseFor(ContactMs);
-      Judge.beginUndisturbed(now());
-      play(R.Planned, PlannedTime);
-      Judge.endUndisturbed();
-      Fleet.healAll(now(), Load);
+    awaitService();
+    for (const Round &R : Rounds) {
+      runSteps(R.Faults, FaultPhaseLength);
+      Fleet.healAll(now(), Traffic);
+      awaitService();
+      testing::pauseFor(ReconnectWaitMs);
+      Oracle.beginUndisturbed(now());
+      runSteps(R.Planned, PlannedPhaseLength);
+      Oracle.endUndisturbed();
+      Fleet.healAll(now(), Traffic);
     }
-    Load.stop();
+    Traffic.stop();
     Fleet.checkResources();
     Fleet.stopAll();
-    Judge.finish();
-    for (const auto &[Outcome, Count] : Judge.outcomes())
+    Oracle.finish();
+    for (const auto &[Outcome, Count] : Oracle.outcomes())
       std::cout << "outcome " << Outcome << " calls=" << Count << "\n";
     std::cout << "served share while undisturbed: "
-              << Judge.servedShareUndisturbed() << "\n";
-    return Judge.violations();
+              << Oracle.servedShareUndisturbed() << "\n";
+    return Oracle.violations();
   }
 
 private:
-  static CallersOptions callersOptions(const Options &O) {
+  static CallersOptions callersOptions(const Options &Opts) {
     CallersOptions Out;
-    Out.setRate(O.Rate);
-    if (O.Untimed)
-      Out.setPatience(std::chrono::seconds(UntimedSeconds));
+    Out.setRate(Opts.Rate);
+    if (Opts.Untimed)
+      Out.setGracePeriod(std::chrono::seconds(UntimedLimitSeconds));
     return Out;
   }
 
   static Time now() { return presentTime().Steady; }
 
-  // A step that cannot be carried out yet is tried again, behind those due.
-  void play(const std::vector<Step> &Steps, Duration Length) {
+  // A step that is not possible yet is retried after RetryStepDelayMs, behind
+  // the steps that are due by then.
+  void runSteps(const std::vector<Step> &Steps, Duration Length) {
     const Time Begin = now();
-    std::vector<Step> Left = Steps;
-    while (now() < Begin + Length || !Left.empty()) {
-      while (!Left.empty() && now() >= Begin + Left.front().At) {
-        Step S = Left.front();
-        Left.erase(Left.begin());
+    std::vector<Step> Remaining = Steps;
+    while (now() < Begin + Length || !Remaining.empty()) {
+      while (!Remaining.empty() && now() >= Begin + Remaining.front().At) {
+        Step S = Remaining.front();
+        Remaining.erase(Remaining.begin());
         std::cout << "at_ms=" << (now() - Begin).count() / 1000 << " "
-                  << nameOf(S.What) << " target=" << S.Target
+                  << nameOf(S.Kind) << " target=" << S.Target
                   << " variant=" << S.Variant << std::endl;
-        if (Fleet.apply(now(), S, Load))
+        if (Fleet.apply(now(), S, Traffic))
           continue;
-        S.At = now() - Begin + std::chrono::milliseconds(RetryStepMs);
-        Left.insert(std::upper_bound(Left.begin(), Left.end(), S,
-                                     [](const Step &A, const Step &B) {
-                                       return A.At < B.At;
-                                     }),
-                    S);
+        S.At = now() - Begin + std::chrono::milliseconds(RetryStepDelayMs);
+        Remaining.insert(std::upper_bound(Remaining.begin(), Remaining.end(), S,
+                                          [](const Step &A, const Step &B) {
+                                            return A.At < B.At;
+                                          }),
+                         S);
       }
       testing::pauseFor(5);
       Fleet.reapEnded();
     }
   }
 
-  // Until each entry serves each kind.
-  void awaitServed() {
-    for (size_t I = 0; I < O.Of.Entries; ++I)
+  // Waits until each entry serves calls of each kind but Extra, whose route may
+  // be missing; reports those that do not in time.
+  void awaitService() {
+    for (size_t I = 0; I < Opts.Shape.Entries; ++I)
       for (const CallKind K :
            {CallKind::Once, CallKind::Read, CallKind::Stream})
-        if (!testing::eventually([&] { return Load.isServed(I, K); },
-                                 O.Untimed ? UntimedPatience : RecoverSeconds))
-          Judge.report("entry" + std::to_string(I) +
-                       " has not come back for kind=" +
-                       std::to_string(static_cast<int>(K)));
+        if (!testing::eventually([&] { return Traffic.callAndWait(I, K); },
+                                 Opts.Untimed ? UntimedRecoveryTimeoutSeconds
+                                              : RecoveryTimeoutSeconds))
+          Oracle.report("entry" + std::to_string(I) +
+                        " did not serve again in time, kind=" +
+                        std::to_string(static_cast<int>(K)));
   }
 
-  const Options &O;
-  Schedule Plan;
-  PromiseOracle Judge;
+  const Options &Opts;
+  Schedule Rounds;
+  GuaranteeOracle Oracle;
   FleetUnderTest Fleet;
-  Callers Load;
+  Callers Traffic;
 };
 
-bool runSeed(const Options &O) {
-  const uint64_t Seed = O.Seed;
+bool runSeed(const Options &Opts) {
+  const uint64_t Seed = Opts.Seed;
   const std::filesystem::path Folder =
-      O.Folder.empty()
+      Opts.Folder.empty()
           ? std::filesystem::temp_directory_path() /
                 ("goldcrestlink-soak-" + std::to_string(::getpid()) + "-" +
                  std::to_string(Seed))
-          : std::filesystem::path(O.Folder) / std::to_string(Seed);
+          : std::filesystem::path(Opts.Folder) / std::to_string(Seed);
   std::cout << "seed " << Seed << " logs in " << Folder << std::endl;
-  const std::vector<std::string> Found = Soak(O, Folder).run();
-  std::cout << "seed " << Seed << " violations: " << Found.size() << "\n";
-  if (Found.empty())
+  const std::vector<std::string> Violations = Soak(Opts, Folder).run();
+  std::cout << "seed " << Seed << " violations: " << Violations.size() << "\n";
+  if (Violations.empty())
     std::filesystem::remove_all(Folder);
-  return Found.empty();
+  return Violations.empty();
 }
 
-// Lines "seed rounds cause"; others begin with #.
-std::vector<Options> listedRuns(const Options &O) {
+// Reads lines of the form "seed rounds reason"; skips empty lines and those
+// that begin with #.
+std::vector<Options> listedRuns(const Options &Opts) {
   std::vector<Options> Out;
-  std::ifstream In(O.List);
+  std::ifstream In(Opts.List);
   if (!In)
-    throw std::runtime_error("cannot read " + O.List);
+    throw std::runtime_error("cannot read list of seeds " + Opts.List);
   for (std::string Line; std::getline(In, Line);) {
     if (Line.empty() || Line.front() == '#')
       continue;
-    Options Listed = O;
+    Options Listed = Opts;
     std::istringstream Words(Line);
     if (!(Words >> Listed.Seed >> Listed.Rounds))
-      throw std::runtime_error(O.List + ": no seed and rounds in: " + Line);
+      throw std::runtime_error(
+          Opts.List +
+          ": expected a seed and a number of rounds in line: " + Line);
     Out.push_back(Listed);
   }
   return Out;
 }
 
-std::vector<Options> chosenRuns(const Options &O) {
-  if (!O.List.empty())
-    return listedRuns(O);
-  std::vector<Options> Out(O.Seeds, O);
+std::vector<Options> selectedRuns(const Options &Opts) {
+  if (!Opts.List.empty())
+    return listedRuns(Opts);
+  std::vector<Options> Out(Opts.Seeds, Opts);
   for (size_t I = 0; I < Out.size(); ++I)
-    Out[I].Seed = O.Seed + I;
+    Out[I].Seed = Opts.Seed + I;
   return Out;
 }
 
-int run(const Options &O) {
-  if (O.PrintSchedule) {
-    std::cout << describe(drawSchedule(O.Seed, O.Of, O.Rounds));
+int run(const Options &Opts) {
+  if (Opts.PrintSchedule) {
+    std::cout << describe(generateSchedule(Opts.Seed, Opts.Shape, Opts.Rounds));
     return 0;
   }
-  const std::vector<Options> Runs = chosenRuns(O);
+  const std::vector<Options> Runs = selectedRuns(Opts);
   std::vector<uint64_t> Failed;
-  for (const Options &One : Runs)
-    if (!runSeed(One))
-      Failed.push_back(One.Seed);
+  for (const Options &Run : Runs)
+    if (!runSeed(Run))
+      Failed.push_back(Run.Seed);
   std::cout << "seeds run: " << Runs.size() << ", failed:";
   for (const uint64_t Seed : Failed)
     std::cout << " " << Seed;
@@ -193,27 +202,30 @@
 } // namespace goldcrestlink::soak
 
 int main(int Count, char **Arguments) {
-  goldcrestlink::soak::Options O;
-  CLI::App App("Fault soak of the programs in the present folder");
-  App.add_option("--seed", O.Seed, "first seed");
-  App.add_option("--seeds", O.Seeds, "how many seeds, one after another");
-  App.add_option("--rounds", O.Rounds, "rounds in each");
-  App.add_option("--entries", O.Of.Entries)->check(CLI::Range(1, 250));
-  App.add_option("--engines", O.Of.Engines)->check(CLI::Range(1, 250));
-  App.add_option("--plains", O.Of.Plains)->check(CLI::Range(1, 250));
-  App.add_option("--rate", O.Rate, "calls per second");
-  App.add_flag("--untimed", O.Untimed, "judge no bounds in time");
-  App.add_flag("--print-schedule", O.PrintSchedule,
-               "only print what the seed does");
-  App.add_option("--list", O.List, "file of seeds and rounds to run");
-  App.add_option("--folder", O.Folder, "for logs; removed where all is well");
+  goldcrestlink::soak::Options Opts;
+  CLI::App App(
+      "Fault-injection soak test of the programs in the working directory");
+  App.add_option("--seed", Opts.Seed, "first seed");
+  App.add_option("--seeds", Opts.Seeds,
+                 "number of seeds to run, one after another");
+  App.add_option("--rounds", Opts.Rounds, "rounds per seed");
+  App.add_option("--entries", Opts.Shape.Entries)->check(CLI::Range(1, 250));
+  App.add_option("--engines", Opts.Shape.Engines)->check(CLI::Range(1, 250));
+  App.add_option("--plains", Opts.Shape.Plains)->check(CLI::Range(1, 250));
+  App.add_option("--rate", Opts.Rate, "calls per second");
+  App.add_flag("--untimed", Opts.Untimed, "do not check time bounds");
+  App.add_flag("--print-schedule", Opts.PrintSchedule,
+               "print the schedule of the seed and exit");
+  App.add_option("--list", Opts.List, "file with the seeds and rounds to run");
+  App.add_option("--folder", Opts.Folder,
+                 "folder for logs; removed for seeds without violations");
   CLI11_PARSE(App, Count, Arguments);
-  if (O.Untimed)
-    O.Of.StopSeconds = goldcrestlink::soak::UntimedSeconds;
+  if (Opts.Untimed)
+    Opts.Shape.StopSeconds = goldcrestlink::soak::UntimedLimitSeconds;
   try {
-    return goldcrestlink::soak::run(O);
-  } catch (const std::exception &Bad) {
-    std::cerr << Bad.what() << "\n";
+    return goldcrestlink::soak::run(Opts);
+  } catch (const std::exception &Error) {
+    std::cerr << Error.what() << "\n";
     return 2;
   }
 }
--- a/soak/testing/soak_test.cc
+++ b/soak/testing/soak_test.cc
@@ -1,5 +1,6 @@
-// The soak's own parts: schedules repeat by seed, the oracle sees each broken
-// promise in a history that has it, the proxy holds and cuts as told.
+// Tests of the soak's components: a seed always gives the same schedule, the
+// oracle reports each kind of violated guarantee, and the proxy applies its
+// faults. An oracle that misses a violation would let a faulty soak pass.
 #include <doctest/doctest.h>
 
 #include <functional>
@@ -27,11 +28,11 @@
   return Time(std::chrono::seconds(1000)) + milliseconds(Ms);
 }
 
-// A history of one call that the oracle is told of.
+// Reports the events of one call, "r1", to an oracle.
 struct History {
-  explicit History(double ServedShare = 0)
-      : O(OracleBounds{.ServedShare = ServedShare}) {
-    O.beginUndisturbed(at(-60000));
+  explicit History(double MinServedShare = 0)
+      : Oracle(OracleBounds{.MinServedShare = MinServedShare}) {
+    Oracle.beginUndisturbed(at(-60000));
   }
 
   void sent(CallKind K, int64_t Ms = 0) {
@@ -39,7 +40,7 @@
                                         "/extra/x"};
     Call = {"r1", K, 0, std::string(Targets[static_cast<size_t>(K)]),
             "r1 events=2"};
-    O.onSent(at(Ms), Call);
+    Oracle.onSent(at(Ms), Call);
   }
   RunSeen run(const std::string &Upstream = "u", int64_t Ms = 10) const {
     RunSeen R;
@@ -50,35 +51,35 @@
     R.Body = Call.Body;
     return R;
   }
-  static SeenAnswer answer(unsigned Status, const std::string &Body,
-                           const std::string &Signature = "seal-u") {
-    return {CallEnd::Whole, Status, "r1", Signature, false, Body};
+  static ObservedAnswer answer(unsigned Status, const std::string &Body,
+                               const std::string &Signature = "seal-u") {
+    return {CallEnd::Complete, Status, "r1", Signature, false, Body};
   }
-  static SeenAnswer refusal(unsigned Status) {
-    return {CallEnd::Whole, Status, "r1", "", true, ""};
+  static ObservedAnswer refusal(unsigned Status) {
+    return {CallEnd::Complete, Status, "r1", "", true, ""};
   }
-  void answered(const SeenAnswer &A, int64_t Ms = 100) {
-    O.onAnswer(at(Ms), "r1", A);
+  void answered(const ObservedAnswer &A, int64_t Ms = 100) {
+    Oracle.onAnswer(at(Ms), "r1", A);
   }
 
-  PromiseOracle O;
+  GuaranteeOracle Oracle;
   SentCall Call;
 };
 
-const std::string WholeStream = "id: 1\ndata: r1\n\nid: 2\ndata: r1\n\n";
+const std::string CompleteStream = "id: 1\ndata: r1\n\nid: 2\ndata: r1\n\n";
 
 struct OracleCase {
-  const char *What;
-  // The rule that is broken; empty if none is.
+  const char *Title;
+  // The rule that is violated; empty if none is.
   const char *Rule;
-  void (*Tell)(History &);
+  void (*Record)(History &);
 };
 
 const OracleCase OracleCases[] = {
     {"served", "",
      [](History &H) {
        H.sent(CallKind::Once);
-       H.O.onRun(H.run());
+       H.Oracle.onRun(H.run());
        H.answered(H.answer(200, "done r1 events=2"));
      }},
     {"served without a run", "MIXED",
@@ -86,75 +87,75 @@
        H.sent(CallKind::Once);
        H.answered(H.answer(200, "done r1 events=2"));
      }},
-    {"another body", "MIXED",
+    {"answer with an unexpected body", "MIXED",
      [](History &H) {
        H.sent(CallKind::Read);
-       H.O.onRun(H.run());
+       H.Oracle.onRun(H.run());
        H.answered(H.answer(200, "done r2 events=2"));
      }},
-    {"no signature", "MIXED",
+    {"success without a signature", "MIXED",
      [](History &H) {
        H.sent(CallKind::Read);
-       H.O.onRun(H.run());
+       H.Oracle.onRun(H.run());
        H.answered(H.answer(200, "done r1 events=2", ""));
      }},
-    {"the answer of another request", "MIXED",
+    {"answer to another request", "MIXED",
      [](History &H) {
        H.sent(CallKind::Read);
-       H.O.onRun(H.run());
-       SeenAnswer A = H.answer(200, "done r1 events=2");
+       H.Oracle.onRun(H.run());
+       ObservedAnswer A = H.answer(200, "done r1 events=2");
        A.RequestId = "r2";
        H.answered(A);
      }},
-    {"a whole stream", "",
+    {"complete stream", "",
      [](History &H) {
        H.sent(CallKind::Stream);
-       H.O.onRun(H.run());
-       H.answered(H.answer(200, WholeStream));
+       H.Oracle.onRun(H.run());
+       H.answered(H.answer(200, CompleteStream));
      }},
-    {"an event lacks", "ORDER",
+    {"stream with a missing event", "ORDER",
      [](History &H) {
        H.sent(CallKind::Stream);
-       H.O.onRun(H.run());
+       H.Oracle.onRun(H.run());
        H.answered(H.answer(200, "id: 2\ndata: r1\n\n"));
      }},
-    {"a broken stream that went back", "ORDER",
+    {"broken stream with a repeated event", "ORDER",
      [](History &H) {
        H.sent(CallKind::Stream);
-       H.O.onRun(H.run());
-       H.O.onUpstreamCrash("u");
-       SeenAnswer A = H.answer(200, "id: 1\ndata: r1\n\nid: 1\n");
+       H.Oracle.onRun(H.run());
+       H.Oracle.onUpstreamCrash("u");
+       ObservedAnswer A = H.answer(200, "id: 1\ndata: r1\n\nid: 1\n");
        A.End = CallEnd::Broken;
        H.answered(A);
      }},
     {"run twice", "TWICE",
      [](History &H) {
        H.sent(CallKind::Once);
-       H.O.onRun(H.run("u"));
-       H.O.onRun(H.run("v"));
+       H.Oracle.onRun(H.run("u"));
+       H.Oracle.onRun(H.run("v"));
        H.answered(H.answer(200, "done r1 events=2"));
      }},
-    {"refused after a run", "REFUSED",
+    {"refused as not run after a run", "REFUSED",
      [](History &H) {
        H.sent(CallKind::Once);
-       H.O.onRun(H.run());
+       H.Oracle.onRun(H.run());
        H.answered(H.refusal(503));
      }},
-    {"run after a refusal", "REFUSED",
+    {"run after a refusal as not run", "REFUSED",
      [](History &H) {
        H.sent(CallKind::Once);
        H.answered(H.refusal(503));
-       H.O.onRun(H.run());
+       H.Oracle.onRun(H.run());
      }},
     {"refused", "",
      [](History &H) {
        H.sent(CallKind::Once);
        H.answered(H.refusal(503));
      }},
-    {"refused without a time", "REFUSED",
+    {"refused without Retry-After", "REFUSED",
      [](History &H) {
        H.sent(CallKind::Once);
-       SeenAnswer A = H.refusal(503);
+       ObservedAnswer A = H.refusal(503);
        A.HasRetryAfter = false;
        H.answered(A);
      }},
@@ -163,178 +164,183 @@
        H.sent(CallKind::Read);
        H.answered(H.refusal(404));
      }},
-    {"cut after it was passed on", "LOST",
+    {"connection closed after the request was forwarded", "LOST",
      [](History &H) {
        H.sent(CallKind::Once);
-       H.O.onRun(H.run());
+       H.Oracle.onRun(H.run());
        H.answered({CallEnd::Broken, 0, "", "", false, ""});
      }},
-    {"cut with its upstream", "",
+    {"connection closed after the upstream crashed", "",
      [](History &H) {
        H.sent(CallKind::Once);
-       H.O.onRun(H.run());
-       H.O.onUpstreamCrash("u");
+       H.Oracle.onRun(H.run());
+       H.Oracle.onUpstreamCrash("u");
        H.answered({CallEnd::Broken, 0, "", "", false, ""});
      }},
-    {"cut late, never passed on", "LOST",
+    {"connection closed late, request not forwarded", "LOST",
      [](History &H) {
        H.sent(CallKind::Once);
        H.answered({CallEnd::Broken, 0, "", "", false, ""}, 900);
      }},
-    {"crosses the close", "",
+    {"connection closed early, request not forwarded", "",
      [](History &H) {
        H.sent(CallKind::Once);
        H.answered({CallEnd::Broken, 0, "", "", false, ""}, 50);
      }},
-    {"never answered", "ANSWER",
+    {"unanswered", "ANSWER",
      [](History &H) {
        H.sent(CallKind::Once);
        H.answered({CallEnd::Unanswered, 0, "", "", false, ""}, 14000);
      }},
-    {"never answered behind a cut", "",
+    {"unanswered through a disturbed entry", "",
      [](History &H) {
        H.sent(CallKind::Once);
-       H.O.onDisturbed(at(10), 0);
+       H.Oracle.onDisturbed(at(10), 0);
        H.answered({CallEnd::Unanswered, 0, "", "", false, ""}, 14000);
      }},
-    {"never ended", "ANSWER", [](History &H) { H.sent(CallKind::Once); }},
-    {"nobody's request", "UNASKED", [](History &H) { H.O.onRun(H.run()); }},
-    {"changed body", "UNASKED",
+    {"call that never ended", "ANSWER",
+     [](History &H) { H.sent(CallKind::Once); }},
+    {"run of a request that nobody sent", "UNASKED",
+     [](History &H) { H.Oracle.onRun(H.run()); }},
+    {"run with a changed body", "UNASKED",
      [](History &H) {
        H.sent(CallKind::Read);
        RunSeen R = H.run();
        R.Body = "other";
-       H.O.onRun(R);
+       H.Oracle.onRun(R);
        H.answered(H.refusal(502));
      }},
-    {"at a leaving upstream", "DRAIN",
+    {"run at a draining upstream", "DRAIN",
      [](History &H) {
        H.sent(CallKind::Read);
        RunSeen R = H.run();
        R.Leaving = milliseconds(2100);
-       H.O.onRun(R);
+       H.Oracle.onRun(R);
        H.answered(H.refusal(502));
      }},
-    {"at one that has just begun to leave", "",
+    {"run at an upstream that has just started to drain", "",
      [](History &H) {
        H.sent(CallKind::Read);
        RunSeen R = H.run();
        R.Leaving = milliseconds(1900);
-       H.O.onRun(R);
+       H.Oracle.onRun(R);
        H.answered(H.refusal(502));
      }},
-    {"an old version", "VERSION",
+    {"run on an outdated version", "VERSION",
      [](History &H) {
        H.sent(CallKind::Stream);
        RunSeen R = H.run();
        R.Outdated = milliseconds(5100);
-       H.O.onRun(R);
-       H.answered(H.answer(200, WholeStream));
+       H.Oracle.onRun(R);
+       H.answered(H.answer(200, CompleteStream));
      }},
-    {"an old version, little after a fault", "",
+    {"run on an outdated version soon after a fault", "",
      [](History &H) {
-       H.O.endUndisturbed();
-       H.O.beginUndisturbed(at(-3000));
+       H.Oracle.endUndisturbed();
+       H.Oracle.beginUndisturbed(at(-3000));
        H.sent(CallKind::Stream);
        RunSeen R = H.run();
        R.Outdated = milliseconds(5100);
-       H.O.onRun(R);
-       H.answered(H.answer(200, WholeStream));
+       H.Oracle.onRun(R);
+       H.answered(H.answer(200, CompleteStream));
      }},
-    {"an added route", "CONFIG",
+    {"denied on an added route", "CONFIG",
      [](History &H) {
-       H.O.onConfiguration(at(-2100), true);
+       H.Oracle.onConfiguration(at(-2100), true);
        H.sent(CallKind::Extra);
        H.answered(H.refusal(404));
      }},
-    {"a route just added", "",
+    {"denied on a route that was just added", "",
      [](History &H) {
-       H.O.onConfiguration(at(-1900), true);
+       H.Oracle.onConfiguration(at(-1900), true);
        H.sent(CallKind::Extra);
        H.answered(H.refusal(404));
      }},
-    {"a dropped route", "CONFIG",
+    {"served on a removed route", "CONFIG",
      [](History &H) {
-       H.O.onConfiguration(at(-9000), true);
-       H.O.onConfiguration(at(-2100), false);
+       H.Oracle.onConfiguration(at(-9000), true);
+       H.Oracle.onConfiguration(at(-2100), false);
        H.sent(CallKind::Extra);
-       H.O.onRun(H.run());
+       H.Oracle.onRun(H.run());
        H.answered(H.answer(200, "done r1 events=2"));
      }},
-    {"worked on after its caller left", "GONE",
+    {"run completed long after its caller disconnected", "GONE",
      [](History &H) {
        H.sent(CallKind::Stream);
-       H.O.onRun(H.run());
-       H.answered({CallEnd::LeftByCaller, 200, "r1", "seal-u", false, ""});
-       H.O.onRunEnd(at(3000), "r1", "u", RunEnd::Whole);
+       H.Oracle.onRun(H.run());
+       H.answered(
+           {CallEnd::CallerDisconnected, 200, "r1", "seal-u", false, ""});
+       H.Oracle.onRunEnd(at(3000), "r1", "u", RunEnd::Whole);
      }},
-    {"ended soon after its caller left", "",
+    {"run ended soon after its caller disconnected", "",
      [](History &H) {
        H.sent(CallKind::Stream);
-       H.O.onRun(H.run());
-       H.answered({CallEnd::LeftByCaller, 200, "r1", "seal-u", false, ""});
-       H.O.onRunEnd(at(500), "r1", "u", RunEnd::CallerGone);
+       H.Oracle.onRun(H.run());
+       H.answered(
+           {CallEnd::CallerDisconnected, 200, "r1", "seal-u", false, ""});
+       H.Oracle.onRunEnd(at(500), "r1", "u", RunEnd::CallerGone);
      }},
     {"too many attempts", "BUDGET",
      [](History &H) {
        H.sent(CallKind::Read);
        for (const char *U : {"u", "v", "w"})
-         H.O.onRun(H.run(U));
+         H.Oracle.onRun(H.run(U));
        H.answered(H.answer(200, "done r1 events=2"));
      }},
     {"attempts whose upstreams crashed", "",
      [](History &H) {
        H.sent(CallKind::Read);
        for (const char *U : {"w", "v", "u"}) {
-         H.O.onRun(H.run(U));
+         H.Oracle.onRun(H.run(U));
          if (*U == 'w')
-           H.O.onUpstreamCrash("w");
+           H.Oracle.onUpstreamCrash("w");
        }
        H.answered(H.answer(200, "done r1 events=2"));
      }},
-    {"order over the slots", "LIMIT",
-     [](History &H) { H.O.onViolation("u", "too many"); }},
+    {"violation reported by an upstream", "LIMIT",
+     [](History &H) { H.Oracle.onViolation("u", "too many"); }},
 };
 
-void checkBroken(const PromiseOracle &O, const std::string &Rule) {
-  const std::vector<std::string> Found = O.violations();
+void checkFirstViolation(const GuaranteeOracle &Oracle,
+                         const std::string &Rule) {
+  const std::vector<std::string> Violations = Oracle.violations();
   if (Rule.empty()) {
-    CHECK(Found.empty());
+    CHECK(Violations.empty());
     return;
   }
-  REQUIRE(!Found.empty());
-  CHECK(Found.front().substr(0, Rule.size()) == Rule);
+  REQUIRE(!Violations.empty());
+  CHECK(Violations.front().substr(0, Rule.size()) == Rule);
 }
 
 } // namespace
 
-TEST_CASE("the oracle sees what a history breaks") {
+TEST_CASE("the oracle reports the guarantee that a history violates") {
   for (const OracleCase &C : OracleCases) {
-    CAPTURE(C.What);
+    CAPTURE(C.Title);
     History H;
-    C.Tell(H);
-    H.O.finish();
-    checkBroken(H.O, C.Rule);
+    C.Record(H);
+    H.Oracle.finish();
+    checkFirstViolation(H.Oracle, C.Rule);
   }
 }
 
-TEST_CASE("the oracle adds up repeats and what was served") {
+TEST_CASE("the oracle checks the retry budget and the share of calls served") {
   struct Case {
     int Calls;
     int Arrivals;
     bool Served;
     const char *Rule;
   };
-  // A ratio of 0.2 and a slack of 20: 100 calls may arrive 140 times.
+  // With a ratio of 0.2 and a slack of 20, 100 calls may arrive 140 times.
   for (const Case &C :
        {Case{100, 140, true, ""}, Case{100, 141, true, "BUDGET"},
         Case{100, 100, false, "RECOVER"}}) {
     CAPTURE(C.Arrivals);
-    History H(OracleBounds().ServedShare);
+    History H(OracleBounds().MinServedShare);
     for (int I = 0; I < C.Arrivals; ++I) {
       const std::string Id = "c" + std::to_string(I % C.Calls);
       if (I < C.Calls)
-        H.O.onSent(at(I), {Id, CallKind::Read, 0, "/read/x", Id});
+        H.Oracle.onSent(at(I), {Id, CallKind::Read, 0, "/read/x", Id});
       RunSeen R;
       R.At = at(I);
       R.RequestId = Id;
@@ -342,50 +348,54 @@
       R.Target = "/read/x";
       R.Body = Id;
       R.Executed = I < C.Calls;
-      H.O.onRun(R);
+      H.Oracle.onRun(R);
     }
     for (int I = 0; I < C.Calls; ++I) {
       const std::string Id = "c" + std::to_string(I);
-      SeenAnswer A{CallEnd::Whole, 200, Id, "seal-u", false, "done " + Id};
+      ObservedAnswer A{CallEnd::Complete, 200,   Id,
+                       "seal-u",          false, "done " + Id};
       if (!C.Served)
-        A = {CallEnd::Whole, 502, Id, "", false, ""};
-      H.O.onAnswer(at(500 + I), Id, A);
+        A = {CallEnd::Complete, 502, Id, "", false, ""};
+      H.Oracle.onAnswer(at(500 + I), Id, A);
     }
-    H.O.finish();
-    checkBroken(H.O, C.Rule);
+    H.Oracle.finish();
+    checkFirstViolation(H.Oracle, C.Rule);
   }
 }
 
-TEST_CASE("a seed gives the same schedule, another seed another") {
-  const Shape Of;
-  CHECK(describe(drawSchedule(5, Of, 3)) == describe(drawSchedule(5, Of, 3)));
-  CHECK(describe(drawSchedule(5, Of, 3)) != describe(drawSchedule(6, Of, 3)));
+TEST_CASE("equal seeds give equal schedules, different seeds different ones") {
+  const SoakShape Shape;
+  CHECK(describe(generateSchedule(5, Shape, 3)) ==
+        describe(generateSchedule(5, Shape, 3)));
+  CHECK(describe(generateSchedule(5, Shape, 3)) !=
+        describe(generateSchedule(6, Shape, 3)));
 }
 
-TEST_CASE("schedules name what exists, in the order of time") {
-  const Shape Of{2, 3, 1};
+TEST_CASE("schedules contain only existing targets, ordered by time") {
+  const SoakShape Shape{2, 3, 1};
   for (uint64_t Seed = 0; Seed < 200; ++Seed)
-    for (const Round &R : drawSchedule(Seed, Of, 2))
+    for (const Round &R : generateSchedule(Seed, Shape, 2))
       for (const auto *Steps : {&R.Faults, &R.Planned}) {
         Duration Last{};
         for (const Step &S : *Steps) {
           CHECK(S.At >= Last);
           Last = S.At;
-          const bool OnLink = S.What <= Action::LinkSilenced;
-          const bool OnProcess = !OnLink && S.What <= Action::Reload;
+          const bool OnLink = S.Kind <= Action::LinkSilenced;
+          const bool OnProcess = !OnLink && S.Kind <= Action::Reload;
           const bool OnUpstream =
-              S.What >= Action::UpstreamCrash && S.What <= Action::Remove;
+              S.Kind >= Action::UpstreamCrash && S.Kind <= Action::Remove;
           if (OnLink)
-            CHECK(S.Target < Of.links());
+            CHECK(S.Target < Shape.links());
           if (OnProcess)
-            CHECK(S.Target < Of.processes());
+            CHECK(S.Target < Shape.processes());
           if (OnUpstream)
-            CHECK(S.Target < Of.upstreams());
+            CHECK(S.Target < Shape.upstreams());
         }
       }
 }
 
-TEST_CASE("the proxy passes, holds, silences and resets") {
+TEST_CASE(
+    "the proxy forwards, delays, holds, silences and resets connections") {
   boost::asio::io_context Io{1};
   http::Server Server(
       Io, {"127.0.0.1", 0}, http::ServerOptions(),
@@ -402,7 +412,7 @@
   const size_t Link = Proxy.addLink(ProxyAddress, {"127.0.0.1", Server.port()});
   boost::asio::io_context CallerIo{1};
   http::Client Client(CallerIo);
-  // How the call ended: -1 not yet, 0 failed, else its status.
+  // Outcome is -1 while the call is open, 0 if it failed, else its status.
   const auto StartCall = [&](int &Outcome) {
     Outcome = -1;
     http::Request R;
@@ -428,7 +438,7 @@
   auto Kept = StartCall(Outcome);
   CHECK(RunUntilEnded(Outcome) == 200);
   for (const LinkFault F :
-       {LinkFault::HeldForward, LinkFault::HeldBack, LinkFault::Silent}) {
+       {LinkFault::HeldForward, LinkFault::HeldBackward, LinkFault::Silent}) {
     Proxy.setFault(Link, F);
     Kept = StartCall(Outcome);
     CHECK(StillOpenAfter(Outcome, 100));
@@ -436,12 +446,12 @@
     CHECK(RunUntilEnded(Outcome) == 200);
   }
   Proxy.setFault(Link, LinkFault::Delayed);
-  const Time Begin = presentTime().Steady;
+  const Time Start = presentTime().Steady;
   Kept = StartCall(Outcome);
   CHECK(RunUntilEnded(Outcome) == 200);
-  CHECK(presentTime().Steady - Begin >=
+  CHECK(presentTime().Steady - Start >=
         milliseconds(2 * LoopbackProxy::DelayMs));
-  Proxy.setFault(Link, LinkFault::HeldBack);
+  Proxy.setFault(Link, LinkFault::HeldBackward);
   Kept = StartCall(Outcome);
   CHECK(StillOpenAfter(Outcome, 100));
   Proxy.reset(Link);
