--- a/standins/engine.cc
+++ b/standins/engine.cc
@@ -1,16 +1,17 @@
 // Stand-in for a model engine: adapter slots, continuous batching whose step
-// time grows with the batch and its distinct adapters, loads through the
-// store, and faults. A prompt that holds the word POISON crashes the engine:
-// its port closes, all sequences are cut and its slots are lost until it comes
-// back. The admin port stays open throughout:
+// time grows with the batch and its number of distinct adapters, loads from the
+// weight store, and faults. A prompt that contains POISON crashes the engine:
+// its port closes, all sequences are aborted and its slots are emptied; the
+// port opens again after the down time. The admin port stays open throughout:
 //
 //   POST /admin/crash?down_ms=N   crash now
-//   POST /admin/mute?on=1         accept calls and answer nothing
-//   POST /admin/wrong_model?count=N   name another adapter in N answers
+//   POST /admin/mute?on=1         accept calls without answering them
+//   POST /admin/wrong_model?count=N   name a wrong adapter in N answers
 //   GET  /admin/counts            steps, sequences, adapters, violations
 //   GET  /admin/runs              one line per run: its "user" field
 //
-// One timer drives all sequences; a step costs the number of sequences.
+// One timer drives all sequences, so that the cost of a step is linear in the
+// size of the batch.
 #include <charconv>
 #include <deque>
 #include <list>
@@ -31,7 +32,7 @@
 
 namespace {
 
-struct Shape {
+struct EngineConfig {
   std::string Listen = "127.0.0.1:9200";
   std::string Admin = "127.0.0.1:9201";
   std::string Store;
@@ -46,15 +47,15 @@
 };
 
 struct Sequence {
-  std::shared_ptr<http::Responder> Answer;
+  std::shared_ptr<http::Responder> Responder;
   std::string Id;
   std::string Model;
   std::string Tag;
   size_t Tokens = 0;
-  size_t Done = 0;
+  size_t TokensSent = 0;
   size_t Slot = 0;
   bool Stream = false;
-  bool Gone = false;
+  bool CallerDisconnected = false;
   std::string Text;
 };
 
@@ -66,77 +67,81 @@
 
 class Engine {
 public:
-  Engine(boost::asio::io_context &InIo, Shape InShape)
-      : Io(InIo), S(std::move(InShape)), Slots(S.Slots), Client(Io),
-        StepTimer(Io), RestartTimer(Io), Rand(S.Seed),
-        Admin(Io, http::Endpoint::parse(S.Admin), http::ServerOptions(),
-              [this](http::Request R, std::shared_ptr<http::Responder> A) {
-                onAdmin(R, *A);
+  Engine(boost::asio::io_context &InIo, EngineConfig InConfig)
+      : Io(InIo), Config(std::move(InConfig)), Slots(Config.Slots), Client(Io),
+        StepTimer(Io), RestartTimer(Io), Rand(Config.Seed),
+        Admin(Io, http::Endpoint::parse(Config.Admin), http::ServerOptions(),
+              [this](http::Request Request,
+                     std::shared_ptr<http::Responder> Responder) {
+                onAdmin(Request, *Responder);
               }) {
-    open();
+    openPort();
   }
 
 private:
-  void open() {
+  void openPort() {
     Server = std::make_unique<http::Server>(
-        Io, http::Endpoint::parse(S.Listen), http::ServerOptions(),
-        [this](http::Request R, std::shared_ptr<http::Responder> A) {
-          onRequest(std::move(R), std::move(A));
+        Io, http::Endpoint::parse(Config.Listen), http::ServerOptions(),
+        [this](http::Request Request,
+               std::shared_ptr<http::Responder> Responder) {
+          onRequest(std::move(Request), std::move(Responder));
         });
   }
 
-  void onRequest(http::Request R, std::shared_ptr<http::Responder> A) {
+  void onRequest(http::Request Request,
+                 std::shared_ptr<http::Responder> Responder) {
     if (Mute) {
-      Muted.push_back(std::move(A));
+      Muted.push_back(std::move(Responder));
       return;
     }
-    const std::string_view Path = R.path();
+    const std::string_view Path = Request.path();
     if (Path == "/v1/completions" || Path == "/v1/chat/completions")
-      return onCompletion(R, std::move(A));
+      return onCompletion(Request, std::move(Responder));
     if (Path == "/v1/load_lora_adapter")
-      return onLoad(R, std::move(A));
+      return onLoad(Request, std::move(Responder));
     if (Path == "/v1/slots") {
       nlohmann::json Out;
       Out["slots"] = Slots;
-      return A->whole(200, {{"Content-Type", "application/json"}}, Out.dump());
+      return Responder->whole(200, {{"Content-Type", "application/json"}},
+                              Out.dump());
     }
-    A->whole(404, {}, "");
+    Responder->whole(404, {}, "");
   }
 
-  void onCompletion(const http::Request &R,
-                    std::shared_ptr<http::Responder> A) {
-    const auto Json = nlohmann::json::parse(R.Body, nullptr, false);
+  void onCompletion(const http::Request &Request,
+                    std::shared_ptr<http::Responder> Responder) {
+    const auto Json = nlohmann::json::parse(Request.Body, nullptr, false);
     if (!Json.is_object())
-      return A->whole(400, {}, "");
+      return Responder->whole(400, {}, "");
     const std::string Model = Json.value("model", std::string());
     const auto Slot = std::find(Slots.begin(), Slots.end(), Model);
     if (Model.empty() || Slot == Slots.end())
-      return A->whole(404, {}, "");
+      return Responder->whole(404, {}, "");
     auto Seq = std::make_shared<Sequence>();
     Seq->Tag = Json.value("user", std::string());
-    Runs.push_back(Seq->Tag);
+    RunTags.push_back(Seq->Tag);
     if (Json.value("prompt", std::string()).find("POISON") != std::string::npos)
-      return boost::asio::post(Io, [this] { crash(S.CrashDownMs); });
-    Seq->Answer = A;
-    Seq->Id = std::string(R.header("X-Request-Id"));
+      return boost::asio::post(Io, [this] { crash(Config.CrashDownMs); });
+    Seq->Responder = Responder;
+    Seq->Id = std::string(Request.header("X-Request-Id"));
     Seq->Model = Model;
     Seq->Tokens = Json.value("max_tokens", size_t(16));
     Seq->Stream = Json.value("stream", false);
     Seq->Slot = static_cast<size_t>(Slot - Slots.begin());
-    A->onGone([Seq] { Seq->Gone = true; });
+    Responder->onGone([Seq] { Seq->CallerDisconnected = true; });
     if (Seq->Stream)
-      A->begin(200, {{"Content-Type", "text/event-stream"}});
-    if (S.StepBaseMs <= 0) {
-      while (Seq->Done < Seq->Tokens)
-        giveToken(*Seq);
+      Responder->begin(200, {{"Content-Type", "text/event-stream"}});
+    if (Config.StepBaseMs <= 0) {
+      while (Seq->TokensSent < Seq->Tokens)
+        emitToken(*Seq);
       return finish(*Seq);
     }
     Waiting.push_back(Seq);
-    fillBatch();
+    startStep();
   }
 
-  void fillBatch() {
-    while (!Waiting.empty() && Batch.size() < S.MaxBatch) {
+  void startStep() {
+    while (!Waiting.empty() && Batch.size() < Config.MaxBatch) {
       Batch.push_back(Waiting.front());
       Waiting.pop_front();
     }
@@ -149,10 +154,11 @@
     ++Steps;
     SequenceSteps += Batch.size();
     AdapterSteps += Adapters.size();
-    const double Millis =
-        S.StepBaseMs + S.StepPerSequenceMs * static_cast<double>(Batch.size()) +
-        S.StepPerAdapterMs * static_cast<double>(Adapters.size());
-    StepTimer.expires_after(fromSeconds(Millis / 1000));
+    const double StepMs =
+        Config.StepBaseMs +
+        Config.StepPerSequenceMs * static_cast<double>(Batch.size()) +
+        Config.StepPerAdapterMs * static_cast<double>(Adapters.size());
+    StepTimer.expires_after(fromSeconds(StepMs / 1000));
     StepTimer.async_wait([this](boost::system::error_code Error) {
       if (!Error)
         step();
@@ -163,17 +169,17 @@
     Stepping = false;
     for (auto It = Batch.begin(); It != Batch.end();) {
       Sequence &Seq = **It;
-      if (!Seq.Gone)
-        giveToken(Seq);
-      const bool Ended = Seq.Gone || Seq.Done >= Seq.Tokens;
-      if (Ended && !Seq.Gone)
+      if (!Seq.CallerDisconnected)
+        emitToken(Seq);
+      const bool Ended = Seq.CallerDisconnected || Seq.TokensSent >= Seq.Tokens;
+      if (Ended && !Seq.CallerDisconnected)
         finish(Seq);
       It = Ended ? Batch.erase(It) : std::next(It);
     }
-    fillBatch();
+    startStep();
   }
 
-  std::string part(const Sequence &Seq, const std::string &Text) {
+  std::string responseJson(const Sequence &Seq, const std::string &Text) {
     nlohmann::json Out;
     Out["id"] = "cmpl-" + Seq.Id;
     Out["model"] = WrongModels > 0 ? "other@0" : Seq.Model;
@@ -181,98 +187,103 @@
     return Out.dump();
   }
 
-  void giveToken(Sequence &Seq) {
-    const std::string Token = Seq.Tag + ":" + std::to_string(Seq.Done++) + " ";
+  void emitToken(Sequence &Seq) {
+    const std::string Token =
+        Seq.Tag + ":" + std::to_string(Seq.TokensSent++) + " ";
     if (Seq.Stream)
-      Seq.Answer->data("data: " + part(Seq, Token) + "\n\n");
+      Seq.Responder->data("data: " + responseJson(Seq, Token) + "\n\n");
     else
       Seq.Text += Token;
   }
 
   void finish(Sequence &Seq) {
     if (Seq.Stream) {
-      Seq.Answer->data("data: [DONE]\n\n");
-      Seq.Answer->end();
+      Seq.Responder->data("data: [DONE]\n\n");
+      Seq.Responder->end();
     } else {
-      Seq.Answer->whole(200, {{"Content-Type", "application/json"}},
-                        part(Seq, Seq.Text));
+      Seq.Responder->whole(200, {{"Content-Type", "application/json"}},
+                           responseJson(Seq, Seq.Text));
     }
     if (WrongModels > 0)
       --WrongModels;
   }
 
-  void onLoad(const http::Request &R, std::shared_ptr<http::Responder> A) {
-    const auto Json = nlohmann::json::parse(R.Body, nullptr, false);
-    const std::string Key = Json.value("lora_name", std::string());
+  void onLoad(const http::Request &Request,
+              std::shared_ptr<http::Responder> Responder) {
+    const auto Json = nlohmann::json::parse(Request.Body, nullptr, false);
+    const std::string Adapter = Json.value("lora_name", std::string());
     const size_t Slot = Json.value("slot", size_t(0));
-    const auto InUse = [&](const std::shared_ptr<Sequence> &Seq) {
-      return Seq->Slot == Slot && !Seq->Gone;
+    const auto UsesSlot = [&](const std::shared_ptr<Sequence> &Seq) {
+      return Seq->Slot == Slot && !Seq->CallerDisconnected;
     };
-    if (std::any_of(Batch.begin(), Batch.end(), InUse) ||
-        std::any_of(Waiting.begin(), Waiting.end(), InUse)) {
+    if (std::any_of(Batch.begin(), Batch.end(), UsesSlot) ||
+        std::any_of(Waiting.begin(), Waiting.end(), UsesSlot)) {
       ++Violations;
-      return A->whole(409, {}, "");
+      return Responder->whole(409, {}, "");
     }
     if (Slot >= Slots.size())
-      return A->whole(400, {}, "");
+      return Responder->whole(400, {}, "");
     Slots[Slot].clear();
     ++Loads;
     const bool Fails =
-        S.LoadFailsOneIn > 0 && Rand.below(S.LoadFailsOneIn) == 0;
-    const uint64_t Life = Lives;
-    const auto Finish = [this, A, Slot, Key, Life](bool Loaded) {
-      if (Life != Lives)
-        return A->abort();
+        Config.LoadFailsOneIn > 0 && Rand.below(Config.LoadFailsOneIn) == 0;
+    const uint64_t IncarnationAtStart = Incarnation;
+    // A load that a crash interrupted is aborted and leaves the new slots
+    // alone.
+    const auto FinishLoad = [this, Responder, Slot, Adapter,
+                             IncarnationAtStart](bool Loaded) {
+      if (IncarnationAtStart != Incarnation)
+        return Responder->abort();
       if (Loaded)
-        Slots[Slot] = Key;
-      A->whole(Loaded ? 200 : 500, {}, "");
+        Slots[Slot] = Adapter;
+      Responder->whole(Loaded ? 200 : 500, {}, "");
     };
-    if (S.Store.empty())
-      return Finish(!Fails);
+    if (Config.Store.empty())
+      return FinishLoad(!Fails);
     http::Request Fetch;
-    Fetch.Target = "/fetch?adapter=" + Key;
+    Fetch.Target = "/fetch?adapter=" + Adapter;
     Client.fetch(
-        http::Endpoint::parse(S.Store), std::move(Fetch),
+        http::Endpoint::parse(Config.Store), std::move(Fetch),
         http::CallOptions().setFreshConnection(true),
-        [Finish, Fails](const http::Response *Answer, http::CallError) {
-          Finish(Answer && !Fails);
+        [FinishLoad, Fails](const http::Response *Answer, http::CallError) {
+          FinishLoad(Answer && !Fails);
         });
   }
 
   void crash(uint64_t DownMs) {
     ++Crashes;
-    ++Lives;
+    ++Incarnation;
     for (auto &Seq : Batch)
-      Seq->Answer->abort();
+      Seq->Responder->abort();
     for (auto &Seq : Waiting)
-      Seq->Answer->abort();
+      Seq->Responder->abort();
     Batch.clear();
     Waiting.clear();
     Muted.clear();
     Stepping = false;
     StepTimer.cancel();
-    Slots.assign(S.Slots, std::string());
+    Slots.assign(Config.Slots, std::string());
     Server.reset();
     RestartTimer.expires_after(std::chrono::milliseconds(DownMs));
     RestartTimer.async_wait([this](boost::system::error_code Error) {
       if (!Error)
-        open();
+        openPort();
     });
   }
 
-  void onAdmin(const http::Request &R, http::Responder &A) {
-    const std::string_view Path = R.path();
+  void onAdmin(const http::Request &Request, http::Responder &Responder) {
+    const std::string_view Path = Request.path();
     if (Path == "/admin/crash")
-      crash(parseNumber(R.query("down_ms")));
+      crash(parseNumber(Request.query("down_ms")));
     if (Path == "/admin/wrong_model")
-      WrongModels = parseNumber(R.query("count"));
+      WrongModels = parseNumber(Request.query("count"));
     if (Path == "/admin/mute") {
-      Mute = R.query("on") == "1";
+      Mute = Request.query("on") == "1";
       Muted.clear();
     }
     std::string Out;
     if (Path == "/admin/runs")
-      for (const std::string &Tag : Runs)
+      for (const std::string &Tag : RunTags)
         Out += Tag + "\n";
     if (Path == "/admin/counts")
       Out = "steps " + std::to_string(Steps) + "\nsequence_steps " +
@@ -280,11 +291,11 @@
             std::to_string(AdapterSteps) + "\nloads " + std::to_string(Loads) +
             "\nviolations " + std::to_string(Violations) + "\ncrashes " +
             std::to_string(Crashes) + "\n";
-    A.whole(200, {}, Out);
+    Responder.whole(200, {}, Out);
   }
 
   boost::asio::io_context &Io;
-  Shape S;
+  EngineConfig Config;
   std::vector<std::string> Slots;
   http::Client Client;
   boost::asio::steady_timer StepTimer;
@@ -293,7 +304,7 @@
   std::deque<std::shared_ptr<Sequence>> Waiting;
   std::list<std::shared_ptr<Sequence>> Batch;
   std::vector<std::shared_ptr<http::Responder>> Muted;
-  std::vector<std::string> Runs;
+  std::vector<std::string> RunTags;
   uint64_t Steps = 0;
   uint64_t SequenceSteps = 0;
   uint64_t AdapterSteps = 0;
@@ -301,7 +312,7 @@
   uint64_t Violations = 0;
   uint64_t Crashes = 0;
   uint64_t WrongModels = 0;
-  uint64_t Lives = 0;
+  uint64_t Incarnation = 0;
   bool Stepping = false;
   bool Mute = false;
   std::unique_ptr<http::Server> Server;
@@ -312,22 +323,26 @@
 
 int main(int Argc, char **Argv) {
   CLI::App App{"stand-in for a model engine"};
-  Shape S;
-  App.add_option("--listen", S.Listen, "ip:port");
-  App.add_option("--admin", S.Admin, "ip:port of the admin calls");
-  App.add_option("--store", S.Store,
-                 "ip:port of the weight store; none: "
-                 "loads are immediate");
-  App.add_option("--slots", S.Slots, "adapter slots");
-  App.add_option("--max-batch", S.MaxBatch, "sequences at once");
-  App.add_option("--step-ms", S.StepBaseMs, "base step time; 0: no steps");
-  App.add_option("--load-fails-one-in", S.LoadFailsOneIn, "0: never");
-  App.add_option("--crash-down-ms", S.CrashDownMs, "down time of a crash");
-  App.add_option("--seed", S.Seed, "seed of the faults");
+  EngineConfig Config;
+  App.add_option("--listen", Config.Listen, "ip:port");
+  App.add_option("--admin", Config.Admin, "ip:port for admin calls");
+  App.add_option("--store", Config.Store,
+                 "ip:port of the weight store; without "
+                 "it loads are immediate");
+  App.add_option("--slots", Config.Slots, "adapter slots");
+  App.add_option("--max-batch", Config.MaxBatch,
+                 "maximum number of sequences in a batch");
+  App.add_option("--step-ms", Config.StepBaseMs,
+                 "base time of a step in milliseconds; 0: answer at once");
+  App.add_option("--load-fails-one-in", Config.LoadFailsOneIn,
+                 "mean number of loads per failed load; 0: none fail");
+  App.add_option("--crash-down-ms", Config.CrashDownMs,
+                 "down time after a POISON prompt, in milliseconds");
+  App.add_option("--seed", Config.Seed, "seed for load failures");
   CLI11_PARSE(App, Argc, Argv);
   boost::asio::io_context Io{1};
   boost::asio::signal_set Signals(Io, SIGTERM, SIGINT);
   Signals.async_wait([&](boost::system::error_code, int) { Io.stop(); });
-  Engine E(Io, S);
+  Engine E(Io, Config);
   Io.run();
 }
--- a/standins/platform.cc
+++ b/standins/platform.cc
@@ -1,14 +1,14 @@
-// Stand-in for the platform: versioned objects with conditional updates and
-// watches, and the list of instances. Faults are switched by admin calls:
+// Stand-in for the platform: versioned objects with conditional writes and
+// watches, and the list of instances. Admin calls inject faults:
 //
-//   POST /admin/outage?on=1           drop every call without an answer
-//   POST /admin/lose_answers?count=N  let the next N writes take effect and
-//                                     drop their answers
-//   PUT  /admin/instances             the list's JSON text
-//   GET  /admin/counts                calls by kind since the start
+//   POST /admin/outage?on=1           abort every call without an answer
+//   POST /admin/lose_answers?count=N  apply the next N writes but abort their
+//                                     calls without an answer
+//   PUT  /admin/instances             replace the list of instances (JSON)
+//   GET  /admin/counts                number of calls by kind since the start
 //
-// Watches are kept in a list per object and answered by timers, so each costs
-// constant memory.
+// Open watches are kept in one list, which each write walks through, and end at
+// the latest by their timers; each costs constant memory.
 #include <charconv>
 #include <list>
 #include <map>
@@ -40,7 +40,7 @@
 struct Watch {
   std::string Name;
   uint64_t Version;
-  std::shared_ptr<http::Responder> Answer;
+  std::shared_ptr<http::Responder> Responder;
   std::unique_ptr<boost::asio::steady_timer> Timer;
 };
 
@@ -50,129 +50,139 @@
       : Io(InIo),
         Server(Io, http::Endpoint::parse(Listen),
                http::ServerOptions().setMaxBodyBytes(2 * MaxValueBytes),
-               [this](http::Request R, std::shared_ptr<http::Responder> A) {
-                 onRequest(std::move(R), std::move(A));
+               [this](http::Request Request,
+                      std::shared_ptr<http::Responder> Responder) {
+                 onRequest(std::move(Request), std::move(Responder));
                }) {}
   uint16_t port() const { return Server.port(); }
 
 private:
-  void onRequest(http::Request R, std::shared_ptr<http::Responder> A) {
-    const std::string_view Path = R.path();
+  void onRequest(http::Request Request,
+                 std::shared_ptr<http::Responder> Responder) {
+    const std::string_view Path = Request.path();
     if (Path.rfind("/admin/", 0) == 0)
-      return onAdmin(R, *A);
+      return onAdmin(Request, *Responder);
     if (Outage)
-      return A->abort();
-    if (Path.rfind("/objects/", 0) == 0 && R.Method == "GET")
-      return onRead(std::string(Path.substr(9)), *A);
-    if (Path.rfind("/objects/", 0) == 0 && R.Method == "PUT")
-      return onPut(std::string(Path.substr(9)), R, *A);
+      return Responder->abort();
+    if (Path.rfind("/objects/", 0) == 0 && Request.Method == "GET")
+      return onRead(std::string(Path.substr(9)), *Responder);
+    if (Path.rfind("/objects/", 0) == 0 && Request.Method == "PUT")
+      return onPut(std::string(Path.substr(9)), Request, *Responder);
     if (Path.rfind("/watch/", 0) == 0)
-      return onWatch(std::string(Path.substr(7)), R, std::move(A));
+      return onWatch(std::string(Path.substr(7)), Request,
+                     std::move(Responder));
     if (Path == "/instances") {
-      ++Lists;
-      return A->whole(200, {{"Content-Type", "application/json"}}, Instances);
+      ++ListCalls;
+      return Responder->whole(200, {{"Content-Type", "application/json"}},
+                              Instances);
     }
-    A->whole(404, {}, "");
+    Responder->whole(404, {}, "");
   }
 
   static http::Headers versionHeader(uint64_t Version) {
     return {{"Object-Version", std::to_string(Version)}};
   }
 
-  void onRead(const std::string &Name, http::Responder &A) {
-    ++Reads;
+  void onRead(const std::string &Name, http::Responder &Responder) {
+    ++ReadCalls;
     const auto It = Objects.find(Name);
     if (It == Objects.end())
-      return A.whole(404, {}, "");
-    A.whole(200, versionHeader(It->second.Version), It->second.Body);
+      return Responder.whole(404, {}, "");
+    Responder.whole(200, versionHeader(It->second.Version), It->second.Body);
   }
 
-  void onPut(const std::string &Name, http::Request &R, http::Responder &A) {
-    ++Writes;
-    if (R.Body.size() > MaxValueBytes)
-      return A.whole(413, {}, "");
-    const uint64_t Expected = parseNumber(R.header("If-Version"));
+  void onPut(const std::string &Name, http::Request &Request,
+             http::Responder &Responder) {
+    ++WriteCalls;
+    if (Request.Body.size() > MaxValueBytes)
+      return Responder.whole(413, {}, "");
+    const uint64_t Expected = parseNumber(Request.header("If-Version"));
     Object &O = Objects[Name];
     if (O.Version != Expected)
-      return A.whole(409, versionHeader(O.Version), "");
+      return Responder.whole(409, versionHeader(O.Version), "");
     O.Version = ++LastVersion;
-    O.Body = std::move(R.Body);
-    notify(Name, O);
+    O.Body = std::move(Request.Body);
+    answerWatches(Name, O);
     if (AnswersToLose > 0) {
       --AnswersToLose;
-      return A.abort();
+      return Responder.abort();
     }
-    A.whole(200, versionHeader(O.Version), "");
+    Responder.whole(200, versionHeader(O.Version), "");
   }
 
-  void onWatch(const std::string &Name, const http::Request &R,
-               std::shared_ptr<http::Responder> A) {
-    ++Watches;
-    const uint64_t Version = parseNumber(R.query("version"));
+  void onWatch(const std::string &Name, const http::Request &Request,
+               std::shared_ptr<http::Responder> Responder) {
+    ++WatchCalls;
+    const uint64_t Version = parseNumber(Request.query("version"));
     const auto It = Objects.find(Name);
     if (It != Objects.end() && It->second.Version > Version)
-      return A->whole(200, versionHeader(It->second.Version), It->second.Body);
+      return Responder->whole(200, versionHeader(It->second.Version),
+                              It->second.Body);
     auto Timer = std::make_unique<boost::asio::steady_timer>(Io);
     Timer->expires_after(
-        std::chrono::milliseconds(parseNumber(R.query("wait_ms"))));
-    Open.push_back({Name, Version, A, std::move(Timer)});
-    const auto Where = std::prev(Open.end());
-    A->onGone([this, Weak = std::weak_ptr<http::Responder>(A)] {
-      Open.remove_if([&](const Watch &W) { return W.Answer == Weak.lock(); });
-    });
-    Where->Timer->async_wait([this, A](boost::system::error_code Error) {
-      if (Error)
-        return;
-      Open.remove_if([&](const Watch &W) { return W.Answer == A; });
-      A->whole(204, {}, "");
+        std::chrono::milliseconds(parseNumber(Request.query("wait_ms"))));
+    OpenWatches.push_back({Name, Version, Responder, std::move(Timer)});
+    const auto Added = std::prev(OpenWatches.end());
+    Responder->onGone([this, Weak = std::weak_ptr<http::Responder>(Responder)] {
+      OpenWatches.remove_if(
+          [&](const Watch &W) { return W.Responder == Weak.lock(); });
     });
+    Added->Timer->async_wait(
+        [this, Responder](boost::system::error_code Error) {
+          if (Error)
+            return;
+          OpenWatches.remove_if(
+              [&](const Watch &W) { return W.Responder == Responder; });
+          Responder->whole(204, {}, "");
+        });
   }
 
-  void notify(const std::string &Name, const Object &O) {
-    for (auto It = Open.begin(); It != Open.end();) {
+  void answerWatches(const std::string &Name, const Object &O) {
+    for (auto It = OpenWatches.begin(); It != OpenWatches.end();) {
       if (It->Name != Name || It->Version >= O.Version) {
         ++It;
         continue;
       }
-      It->Answer->whole(200, versionHeader(O.Version), O.Body);
-      It = Open.erase(It);
+      It->Responder->whole(200, versionHeader(O.Version), O.Body);
+      It = OpenWatches.erase(It);
     }
   }
 
-  void onAdmin(http::Request &R, http::Responder &A) {
-    const std::string_view Path = R.path();
+  void onAdmin(http::Request &Request, http::Responder &Responder) {
+    const std::string_view Path = Request.path();
     if (Path == "/admin/outage") {
-      Outage = R.query("on") == "1";
-      for (Watch &W : Open)
+      Outage = Request.query("on") == "1";
+      for (Watch &W : OpenWatches)
         if (Outage)
-          W.Answer->abort();
+          W.Responder->abort();
     } else if (Path == "/admin/lose_answers") {
-      AnswersToLose = parseNumber(R.query("count"));
+      AnswersToLose = parseNumber(Request.query("count"));
     } else if (Path == "/admin/instances") {
-      Instances = std::move(R.Body);
+      Instances = std::move(Request.Body);
     } else if (Path == "/admin/counts") {
-      return A.whole(200, {},
-                     "reads " + std::to_string(Reads) + "\nwrites " +
-                         std::to_string(Writes) + "\nwatches " +
-                         std::to_string(Watches) + "\nlists " +
-                         std::to_string(Lists) + "\nopen_watches " +
-                         std::to_string(Open.size()) + "\n");
+      return Responder.whole(200, {},
+                             "reads " + std::to_string(ReadCalls) +
+                                 "\nwrites " + std::to_string(WriteCalls) +
+                                 "\nwatches " + std::to_string(WatchCalls) +
+                                 "\nlists " + std::to_string(ListCalls) +
+                                 "\nopen_watches " +
+                                 std::to_string(OpenWatches.size()) + "\n");
     } else {
-      return A.whole(404, {}, "");
+      return Responder.whole(404, {}, "");
     }
-    A.whole(200, {}, "");
+    Responder.whole(200, {}, "");
   }
 
   boost::asio::io_context &Io;
   std::map<std::string, Object> Objects;
-  std::list<Watch> Open;
+  std::list<Watch> OpenWatches;
   std::string Instances = "[]";
   uint64_t LastVersion = 0;
   uint64_t AnswersToLose = 0;
-  uint64_t Reads = 0;
-  uint64_t Writes = 0;
-  uint64_t Watches = 0;
-  uint64_t Lists = 0;
+  uint64_t ReadCalls = 0;
+  uint64_t WriteCalls = 0;
+  uint64_t WatchCalls = 0;
+  uint64_t ListCalls = 0;
   bool Outage = false;
   http::Server Server;
 };
--- a/standins/relay.cc
+++ b/standins/relay.cc
@@ -1,12 +1,13 @@
-// A TCP relay that can make open connections go silent for good: they stay
-// open and carry nothing more, while new ones work, as when a device between
-// two ends forgets them.
+// A TCP relay that can silence open connections permanently: they stay open but
+// carry no more bytes, while new connections work. This is what happens when a
+// stateful device on the path, such as a firewall, loses its connection table.
 //
 //   relay --admin 127.0.0.1:9400 127.0.0.1:7100=127.0.0.1:7000 ...
 //   POST /admin/silence?source=127.0.0.2&target=127.0.0.1:7000
 //
-// Silences open connections from that source (any if empty) to that target
-// (any if empty). Each connection holds two fixed buffers.
+// Silences the open connections from the given source (any if empty) to the
+// given target (any if empty) and answers with the number silenced since the
+// start. Each connection holds two fixed buffers.
 #include <array>
 #include <list>
 #include <memory>
@@ -27,8 +28,9 @@
 
 constexpr size_t BufferBytes = 64 * 1024;
 
-struct Link : std::enable_shared_from_this<Link> {
-  Link(Tcp::socket From, boost::asio::io_context &Io, std::string InTarget)
+struct Connection : std::enable_shared_from_this<Connection> {
+  Connection(Tcp::socket From, boost::asio::io_context &Io,
+             std::string InTarget)
       : Client(std::move(From)), Upstream(Io), Target(std::move(InTarget)) {
     ErrorCode Ignored;
     Source = Client.remote_endpoint(Ignored).address().to_string();
@@ -54,8 +56,8 @@
             return Self->close();
           boost::asio::async_write(
               To, boost::asio::buffer(Buffer.data(), Bytes),
-              [Self, &From, &To, &Buffer](ErrorCode Bad, size_t) {
-                if (Bad)
+              [Self, &From, &To, &Buffer](ErrorCode WriteError, size_t) {
+                if (WriteError)
                   return Self->close();
                 Self->copy(From, To, Buffer);
               });
@@ -81,9 +83,11 @@
   Relay(boost::asio::io_context &InIo, const std::string &Admin)
       : Io(InIo),
         Server(Io, http::Endpoint::parse(Admin), http::ServerOptions(),
-               [this](http::Request R, std::shared_ptr<http::Responder> A) {
-                 silence(R.query("source"), R.query("target"));
-                 A->whole(200, {}, std::to_string(Silenced.size()) + "\n");
+               [this](http::Request Request,
+                      std::shared_ptr<http::Responder> Responder) {
+                 silence(Request.query("source"), Request.query("target"));
+                 Responder->whole(200, {},
+                                  std::to_string(Silenced.size()) + "\n");
                }) {}
 
   void add(const std::string &Mapping) {
@@ -104,30 +108,31 @@
     Listener.async_accept(
         [this, &Listener, Target, To](ErrorCode Error, Tcp::socket Socket) {
           if (!Error) {
-            auto One = std::make_shared<Link>(std::move(Socket), Io, Target);
-            Links.push_back(One);
-            One->start(To);
+            auto Accepted =
+                std::make_shared<Connection>(std::move(Socket), Io, Target);
+            Connections.push_back(Accepted);
+            Accepted->start(To);
           }
           accept(Listener, Target, To);
         });
   }
 
   void silence(std::string_view Source, std::string_view Target) {
-    for (auto &Weak : Links) {
-      auto One = Weak.lock();
-      if (!One || (!Source.empty() && One->Source != Source) ||
-          (!Target.empty() && One->Target != Target))
+    for (auto &Weak : Connections) {
+      auto Open = Weak.lock();
+      if (!Open || (!Source.empty() && Open->Source != Source) ||
+          (!Target.empty() && Open->Target != Target))
         continue;
-      One->Silent = true;
-      Silenced.push_back(One); // Kept open for good.
+      Open->Silent = true;
+      Silenced.push_back(Open); // Holding it keeps its sockets open.
     }
-    Links.remove_if([](const auto &Weak) { return Weak.expired(); });
+    Connections.remove_if([](const auto &Weak) { return Weak.expired(); });
   }
 
   boost::asio::io_context &Io;
   std::list<Tcp::acceptor> Listeners;
-  std::list<std::weak_ptr<Link>> Links;
-  std::vector<std::shared_ptr<Link>> Silenced;
+  std::list<std::weak_ptr<Connection>> Connections;
+  std::vector<std::shared_ptr<Connection>> Silenced;
   http::Server Server;
 };
 
@@ -137,15 +142,15 @@
   CLI::App App{"TCP relay whose connections can be silenced"};
   std::string Admin = "127.0.0.1:9400";
   std::vector<std::string> Mappings;
-  App.add_option("--admin", Admin, "ip:port of the admin calls");
+  App.add_option("--admin", Admin, "ip:port for admin calls");
   App.add_option("mappings", Mappings, "listen ip:port=target ip:port")
       ->required();
   CLI11_PARSE(App, Argc, Argv);
   boost::asio::io_context Io{1};
   boost::asio::signal_set Signals(Io, SIGTERM, SIGINT);
   Signals.async_wait([&](ErrorCode, int) { Io.stop(); });
-  Relay R(Io, Admin);
+  Relay Relays(Io, Admin);
   for (const std::string &Mapping : Mappings)
-    R.add(Mapping);
+    Relays.add(Mapping);
   Io.run();
 }
