--- a/admission/engine_report.h
+++ b/admission/engine_report.h
@@ -76,7 +76,7 @@
   Accepted,
   /// The engine is in the ordered state: it already was, or it has unloaded an
   /// unused adapter at once.
-  Holds,
+  Completed,
   /// Refused because the count differed or another order was in progress.
   Conflict,
   /// Refused for another reason; the order will not be carried out.
--- a/admission/side_admission.cc
+++ b/admission/side_admission.cc
@@ -19,7 +19,7 @@
 constexpr Duration PrefetchExpiry = std::chrono::seconds(1);
 
 // On average, a request uses about half of its maximum number of output tokens.
-uint64_t expectedTokens(const AdmissionAsk &Request) {
+uint64_t expectedTokens(const AdmissionRequest &Request) {
   return Request.PromptTokens + Request.OutputTokens / 2;
 }
 
@@ -82,7 +82,8 @@
   return State && State->Version < requiredVersion(Now, Name);
 }
 
-bool SideAdmission::ready(const Time &Now, const AdmissionAsk &Request) const {
+bool SideAdmission::ready(const Time &Now,
+                          const AdmissionRequest &Request) const {
   const HeldModel *Base = baseModel(Request.Model);
   if (!Reachable || !Base)
     return false;
@@ -92,7 +93,7 @@
   return heldAdapter(Name) && !isOutdated(Now, Name);
 }
 
-bool SideAdmission::hasCapacity(const AdmissionAsk &Request) const {
+bool SideAdmission::hasCapacity(const AdmissionRequest &Request) const {
   if (Spec.BatchSlots > 0 && Grants.size() >= Spec.BatchSlots)
     return false;
   const double MaxTokens =
@@ -103,7 +104,7 @@
 }
 
 Duration SideAdmission::expectedWait(const Time &Now,
-                                     const AdmissionAsk &Request) const {
+                                     const AdmissionRequest &Request) const {
   Duration Wait = Prefill.backlog(Now, Request.Rank);
   if (!baseModel(Request.Model))
     Wait += Spec.Models.empty() ? std::chrono::seconds(1)
@@ -132,7 +133,8 @@
   return Ahead.size();
 }
 
-void SideAdmission::onAsk(const Time &Now, AdmissionAsk Request) {
+void SideAdmission::onAdmissionRequest(const Time &Now,
+                                       AdmissionRequest Request) {
   if (Request.Version > 0)
     onRelease(Now, {Request.Model, Request.Adapter, Request.Version});
   if (Request.Prefetch) {
@@ -151,11 +153,11 @@
       isOutdated(Now, Name) && heldAdapter(Name)->Pins > 0)
     return refuse(Request, Opts.replaceTime(), true, "replacing");
   const Duration Wait = expectedWait(Now, Request);
-  if (Wait > Request.Patience || Queue.size() >= Opts.maxWaiting())
+  if (Wait > Request.MaxWait || Queue.size() >= Opts.maxWaiting())
     return refuse(Request, Wait, Ready || !baseModel(Request.Model),
                   Ready ? "engine_full" : "load_too_late");
   AdmissionReply Reply;
-  Reply.What = Verdict::Wait;
+  Reply.Decision = Verdict::Wait;
   Reply.Expected = Wait;
   Reply.Reason = Ready ? "engine_full" : "loading";
   Port.reply(Request, Reply);
@@ -166,16 +168,16 @@
   // The maximum wait is the entry's estimate of how long a wait still helps its
   // caller. The actual wait may reach twice that time before the request is
   // refused.
-  const Time Until = Now + std::min(Request.Patience * 2, Request.TimeLeft);
+  const Time Until = Now + std::min(Request.MaxWait * 2, Request.TimeLeft);
   const Time LoadBy = Now + Request.ObjectiveLeft - Loads.loadTime();
   Queue.insert(Position, {std::move(Request), Now, Until, LoadBy});
   serveQueue(Now);
   placeOrder(Now);
 }
 
-void SideAdmission::grant(const Time &Now, const AdmissionAsk &Request) {
+void SideAdmission::grant(const Time &Now, const AdmissionRequest &Request) {
   AdmissionReply Reply;
-  Reply.What = Verdict::Go;
+  Reply.Decision = Verdict::Go;
   Reply.Expected = Prefill.backlog(Now, Request.Rank);
   Reply.Reason = "ready";
   Grant G;
@@ -198,11 +200,11 @@
   Port.reply(Request, Reply);
 }
 
-void SideAdmission::refuse(const AdmissionAsk &Request, Duration RetryAfter,
+void SideAdmission::refuse(const AdmissionRequest &Request, Duration RetryAfter,
                            bool TryElsewhere, std::string_view Reason) {
   AdmissionReply Reply;
   Reply.TryElsewhere = TryElsewhere;
-  Reply.What = Verdict::Refuse;
+  Reply.Decision = Verdict::Refuse;
   Reply.Expected = RetryAfter;
   Reply.Reason = Reason;
   Port.reply(Request, Reply);
@@ -232,7 +234,7 @@
   placeOrder(Now);
 }
 
-void SideAdmission::onEngineSilent(const Time &Now) {
+void SideAdmission::onEngineUnreachable(const Time &Now) {
   if (Reachable)
     Port.log(LineClass::Kept, "engine state=unreachable waiting=" +
                                   std::to_string(Queue.size()));
@@ -253,7 +255,7 @@
     }
     if (!hasCapacity(It->Request))
       return;
-    const AdmissionAsk Request = std::move(It->Request);
+    const AdmissionRequest Request = std::move(It->Request);
     It = Queue.erase(It);
     grant(Now, Request);
   }
@@ -265,7 +267,7 @@
       ++It;
       continue;
     }
-    const AdmissionAsk Request = std::move(It->Request);
+    const AdmissionRequest Request = std::move(It->Request);
     It = Queue.erase(It);
     refuse(Request, expectedWait(Now, Request), ready(Now, Request),
            "waited_too_long");
--- a/admission/side_admission.h
+++ b/admission/side_admission.h
@@ -29,7 +29,7 @@
 namespace goldcrestlink {
 
 /// An entry's question whether it may send a request to the engine.
-struct AdmissionAsk {
+struct AdmissionRequest {
   /// Identifies the entry's connection; opaque.
   std::string Peer;
   /// Unique per entry.
@@ -43,7 +43,7 @@
   uint32_t PromptTokens = 0;
   uint32_t OutputTokens = 0;
   /// Maximum wait: the longest expected wait that the entry accepts.
-  Duration Patience{};
+  Duration MaxWait{};
   /// Time left until the request's latency objective for the first token; may
   /// be negative.
   Duration ObjectiveLeft{};
@@ -57,7 +57,7 @@
 
 /// The answer to an admission request. Wait is followed by Go or Refuse later.
 struct AdmissionReply {
-  Verdict What = Verdict::Refuse;
+  Verdict Decision = Verdict::Refuse;
   /// The adapter version that the engine holds and that the request has to
   /// expect; 0 for the base model, or if the engine reports no version.
   uint64_t Version = 0;
@@ -100,7 +100,8 @@
 class SidePort {
 public:
   virtual ~SidePort() = default;
-  virtual void reply(const AdmissionAsk &To, const AdmissionReply &Reply) = 0;
+  virtual void reply(const AdmissionRequest &To,
+                     const AdmissionReply &Reply) = 0;
   virtual void order(const EngineOrder &Order) = 0;
   virtual void log(LineClass Class, std::string Line) = 0;
 };
@@ -160,7 +161,7 @@
   void onRelease(const Time &Now, const WeightRelease &Release);
   /// An entry asks for admission. Answered through SidePort::reply(), at once
   /// or later, unless it is a prefetch.
-  void onAsk(const Time &Now, AdmissionAsk Request);
+  void onAdmissionRequest(const Time &Now, AdmissionRequest Request);
   /// A granted or waiting request has ended. \p FirstToken is the time from
   /// when the request was sent to its first token, or zero if it had none.
   void onEnd(const Time &Now, const std::string &Peer, uint64_t Id,
@@ -168,7 +169,7 @@
   /// The engine has answered with its state.
   void onReport(const Time &Now, const EngineReport &NewReport);
   /// The engine did not answer a request for its state.
-  void onEngineSilent(const Time &Now);
+  void onEngineUnreachable(const Time &Now);
   /// \p Outcome is the result of the order \p Number, Unknown if it got no
   /// answer.
   void onOrderOutcome(const Time &Now, uint64_t Number, OrderOutcome Outcome);
@@ -209,7 +210,7 @@
   };
 
   struct WaitingRequest {
-    AdmissionAsk Request;
+    AdmissionRequest Request;
     Time Since;
     Time Until;
     // Latest start of the adapter load for the first token to meet its
@@ -236,13 +237,13 @@
   const HeldModel *baseModel(std::string_view Model) const;
   uint64_t requiredVersion(const Time &Now, const std::string &Name) const;
   const AdapterState *heldAdapter(const std::string &Name) const;
-  bool ready(const Time &Now, const AdmissionAsk &Request) const;
+  bool ready(const Time &Now, const AdmissionRequest &Request) const;
   bool isOutdated(const Time &Now, const std::string &Name) const;
-  bool hasCapacity(const AdmissionAsk &Request) const;
-  void grant(const Time &Now, const AdmissionAsk &Request);
-  void refuse(const AdmissionAsk &Request, Duration RetryAfter,
+  bool hasCapacity(const AdmissionRequest &Request) const;
+  void grant(const Time &Now, const AdmissionRequest &Request);
+  void refuse(const AdmissionRequest &Request, Duration RetryAfter,
               bool TryElsewhere, std::string_view Reason);
-  Duration expectedWait(const Time &Now, const AdmissionAsk &Request) const;
+  Duration expectedWait(const Time &Now, const AdmissionRequest &Request) const;
   void serveQueue(const Time &Now);
   void expire(const Time &Now);
   void placeOrder(const Time &Now);
@@ -257,7 +258,7 @@
   uint32_t slotsUsed() const;
   uint32_t incoming() const;
   bool neededByQueue(const std::string &Name) const;
-  std::vector<const AdmissionAsk *> loadCandidates(const Time &Now) const;
+  std::vector<const AdmissionRequest *> loadCandidates(const Time &Now) const;
   size_t loadsAhead(const Time &Now, const std::string &Name) const;
 
   Options Opts;
--- a/admission/side_orders.cc
+++ b/admission/side_orders.cc
@@ -123,9 +123,9 @@
 // requests that can still meet their objective, by rank and arrival; then the
 // late ones. For every LateLoadInterval-th load, late requests precede those in
 // time, so that they do not starve.
-std::vector<const AdmissionAsk *>
+std::vector<const AdmissionRequest *>
 SideAdmission::loadCandidates(const Time &Now) const {
-  std::vector<const AdmissionAsk *> Out;
+  std::vector<const AdmissionRequest *> Out;
   for (const WaitingRequest &W : Prefetches)
     Out.push_back(&W.Request);
   const bool LateFirst =
@@ -154,7 +154,7 @@
     return;
   if (unloadOutdated(Now))
     return;
-  for (const AdmissionAsk *Request : loadCandidates(Now)) {
+  for (const AdmissionRequest *Request : loadCandidates(Now)) {
     const std::string Name = adapterName(Request->Model, Request->Adapter);
     if (Request->Adapter.empty() || !baseModel(Request->Model) ||
         heldAdapter(Name))
@@ -276,7 +276,7 @@
     return;
   }
   const EngineOrder Order = *OpenOrder;
-  if (Outcome == OrderOutcome::Accepted || Outcome == OrderOutcome::Holds) {
+  if (Outcome == OrderOutcome::Accepted || Outcome == OrderOutcome::Completed) {
     // Apply the effect that the next report will show, so that the next order
     // need not wait for that report.
     if (Outcome == OrderOutcome::Accepted || Order.Kind == OrderKind::Unload)
@@ -299,7 +299,7 @@
             return A.Name == Order.Adapter;
           });
     }
-    if (Outcome == OrderOutcome::Holds && Order.Kind == OrderKind::Load) {
+    if (Outcome == OrderOutcome::Completed && Order.Kind == OrderKind::Load) {
       // The last report is older than the engine's state; request a new one.
       OrderAnswered = true;
       ReportedAt = Time{};
--- a/admission/testing/side_admission_test.cc
+++ b/admission/testing/side_admission_test.cc
@@ -37,9 +37,9 @@
   return R;
 }
 
-AdmissionAsk request(uint64_t Id, const std::string &Adapter,
-                     uint32_t Rank = 0) {
-  AdmissionAsk A;
+AdmissionRequest request(uint64_t Id, const std::string &Adapter,
+                         uint32_t Rank = 0) {
+  AdmissionRequest A;
   A.Peer = "entry";
   A.Id = Id;
   A.Model = "m";
@@ -47,14 +47,14 @@
   A.Rank = Rank;
   A.PromptTokens = 100;
   A.OutputTokens = 50;
-  A.Patience = std::chrono::milliseconds(900);
+  A.MaxWait = std::chrono::milliseconds(900);
   A.TimeLeft = std::chrono::seconds(10);
   return A;
 }
 
 struct Recorder : SidePort {
-  void reply(const AdmissionAsk &To, const AdmissionReply &R) override {
-    Replies[To.Id] = R.What;
+  void reply(const AdmissionRequest &To, const AdmissionReply &R) override {
+    Replies[To.Id] = R.Decision;
     Versions[To.Id] = R.Version;
     Reasons[To.Id] = std::string(R.Reason);
   }
@@ -84,10 +84,10 @@
 TEST_CASE("a request for a held adapter is granted at once, another waits for "
           "the load") {
   Side S({{"a", 1}});
-  S.Admission.onAsk(at(1), request(1, "a"));
+  S.Admission.onAdmissionRequest(at(1), request(1, "a"));
   CHECK(S.Port.Replies[1] == Verdict::Go);
   CHECK(S.Port.Versions[1] == 1);
-  S.Admission.onAsk(at(2), request(2, "b"));
+  S.Admission.onAdmissionRequest(at(2), request(2, "b"));
   CHECK(S.Port.Replies[2] == Verdict::Wait);
   REQUIRE(S.Port.Orders.size() == 1);
   CHECK(S.lastOrder().Adapter == "b");
@@ -100,14 +100,17 @@
 TEST_CASE("an adapter in use is never evicted") {
   Side S({{"a", 1}, {"b", 1}, {"c", 1}});
   for (uint64_t Id = 1; const char *Name : {"a", "b", "c"})
-    S.Admission.onAsk(at(static_cast<int64_t>(Id)), request(Id, Name)), ++Id;
-  S.Admission.onAsk(at(5), request(9, "d"));
+    S.Admission.onAdmissionRequest(at(static_cast<int64_t>(Id)),
+                                   request(Id, Name)),
+        ++Id;
+  S.Admission.onAdmissionRequest(at(5), request(9, "d"));
   CHECK(S.Port.Orders.empty());
   S.Admission.onEnd(at(6), "entry", 2, Duration(0));
   REQUIRE(S.Port.Orders.size() == 1);
   CHECK(S.lastOrder().Kind == OrderKind::Unload);
   CHECK(S.lastOrder().Adapter == "b");
-  S.Admission.onOrderOutcome(at(7), S.lastOrder().Number, OrderOutcome::Holds);
+  S.Admission.onOrderOutcome(at(7), S.lastOrder().Number,
+                             OrderOutcome::Completed);
   REQUIRE(S.Port.Orders.size() == 2);
   CHECK(S.lastOrder().Kind == OrderKind::Load);
   CHECK(S.lastOrder().Adapter == "d");
@@ -116,8 +119,8 @@
 
 TEST_CASE("an unanswered order stays open until the engine's count increases") {
   Side S({});
-  S.Admission.onAsk(at(1), request(1, "a"));
-  S.Admission.onAsk(at(1), request(2, "b"));
+  S.Admission.onAdmissionRequest(at(1), request(1, "a"));
+  S.Admission.onAdmissionRequest(at(1), request(2, "b"));
   REQUIRE(S.Port.Orders.size() == 1);
   S.Admission.onOrderOutcome(at(2), S.lastOrder().Number,
                              OrderOutcome::Unknown);
@@ -139,11 +142,11 @@
 
 TEST_CASE("a report older than the answer to an order is ignored") {
   Side S({});
-  S.Admission.onAsk(at(1), request(1, "a"));
+  S.Admission.onAdmissionRequest(at(1), request(1, "a"));
   S.Admission.onOrderOutcome(at(2), S.lastOrder().Number,
                              OrderOutcome::Accepted);
   S.Admission.onReport(at(3), report({}, 0));
-  S.Admission.onAsk(at(4), request(2, "b"));
+  S.Admission.onAdmissionRequest(at(4), request(2, "b"));
   REQUIRE(S.Port.Orders.size() == 2);
   CHECK(S.lastOrder().Adapter == "b");
   CHECK(S.lastOrder().ExpectedCount == 1);
@@ -151,7 +154,7 @@
 
 TEST_CASE("after an engine restart, the base model is loaded at once") {
   Side S({{"a", 1}});
-  S.Admission.onAsk(at(1), request(1, "a"));
+  S.Admission.onAdmissionRequest(at(1), request(1, "a"));
   EngineReport Empty;
   Empty.StartedMs = 2;
   S.Admission.onReport(at(100), Empty);
@@ -173,12 +176,12 @@
 
 TEST_CASE("an announced version is served within three seconds") {
   Side S({{"a", 1}});
-  S.Admission.onAsk(at(0), request(1, "a"));
+  S.Admission.onAdmissionRequest(at(0), request(1, "a"));
   S.Admission.onRelease(at(10), {"m", "a", 2});
   // No order is sent while the request on the old version runs.
   S.Admission.onTimer(at(1900));
   CHECK(S.Port.Orders.empty());
-  S.Admission.onAsk(at(1900), request(2, "a"));
+  S.Admission.onAdmissionRequest(at(1900), request(2, "a"));
   CHECK(S.Port.Replies[2] == Verdict::Refuse);
   CHECK(S.Port.Reasons[2] == "replacing");
   CHECK(S.Admission.load(at(1900)).Held.empty());
@@ -186,8 +189,8 @@
   REQUIRE(S.Port.Orders.size() == 1);
   CHECK(S.lastOrder().Kind == OrderKind::Unload);
   S.Admission.onOrderOutcome(at(2001), S.lastOrder().Number,
-                             OrderOutcome::Holds);
-  S.Admission.onAsk(at(2002), request(3, "a"));
+                             OrderOutcome::Completed);
+  S.Admission.onAdmissionRequest(at(2002), request(3, "a"));
   CHECK(S.lastOrder().Kind == OrderKind::Load);
   S.Admission.onOrderOutcome(at(2003), S.lastOrder().Number,
                              OrderOutcome::Accepted);
@@ -199,9 +202,9 @@
 TEST_CASE("the most urgent waiting request is granted when capacity is freed") {
   Side S({{"a", 1}});
   for (uint64_t Id = 1; Id <= 4; ++Id)
-    S.Admission.onAsk(at(0), request(Id, "a"));
-  S.Admission.onAsk(at(1), request(5, "a", 2));
-  S.Admission.onAsk(at(2), request(6, "a", 0));
+    S.Admission.onAdmissionRequest(at(0), request(Id, "a"));
+  S.Admission.onAdmissionRequest(at(1), request(5, "a", 2));
+  S.Admission.onAdmissionRequest(at(2), request(6, "a", 0));
   CHECK(S.Port.Replies[5] == Verdict::Wait);
   CHECK(S.Port.Replies[6] == Verdict::Wait);
   S.Admission.onEnd(at(3), "entry", 1, Duration(0));
@@ -213,12 +216,12 @@
     "a request that cannot be served within its maximum wait is refused at "
     "once") {
   Side S({{"a", 1}});
-  AdmissionAsk A = request(1, "b");
-  A.Patience = std::chrono::milliseconds(100);
-  S.Admission.onAsk(at(0), A);
+  AdmissionRequest A = request(1, "b");
+  A.MaxWait = std::chrono::milliseconds(100);
+  S.Admission.onAdmissionRequest(at(0), A);
   CHECK(S.Port.Replies[1] == Verdict::Refuse);
-  S.Admission.onEngineSilent(at(1));
-  S.Admission.onAsk(at(2), request(2, "a"));
+  S.Admission.onEngineUnreachable(at(1));
+  S.Admission.onAdmissionRequest(at(2), request(2, "a"));
   CHECK(S.Port.Replies[2] == Verdict::Refuse);
 }
 
@@ -289,10 +292,10 @@
                     "an adapter in use was evicted");
       Held.erase(O.Adapter);
       ++Count;
-      return OrderOutcome::Holds;
+      return OrderOutcome::Completed;
     }
     if (Held.contains(O.Adapter) || Loading.contains(O.Adapter))
-      return OrderOutcome::Holds;
+      return OrderOutcome::Completed;
     Loading[O.Adapter] = Ms + 250;
     ++Count;
     CHECK_MESSAGE(Held.size() + Loading.size() <= Slots,
@@ -328,7 +331,7 @@
       if (Ms < 20000 && Rand.below(4) == 0) {
         const std::string Name = "a" + std::to_string(Rand.below(8));
         Pending[NextId] = Name;
-        Admission.onAsk(at(Ms), request(NextId, Name));
+        Admission.onAdmissionRequest(at(Ms), request(NextId, Name));
         ++NextId;
       }
       for (auto It = Pending.begin(); It != Pending.end();) {
--- a/base/finding.h
+++ b/base/finding.h
@@ -14,21 +14,21 @@
 namespace goldcrestlink {
 
 /// A location in an operator's file. Line 0 stands for the whole file.
-struct Place {
+struct FileLocation {
   std::string File;
   int Line = 0;
 };
 
 /// One problem and its location.
 struct Finding {
-  Place Where;
+  FileLocation Where;
   std::string Message;
 };
 
 /// A list of findings in the order in which they were added. Not thread-safe.
 class FindingList {
 public:
-  void add(Place Where, std::string Message) {
+  void add(FileLocation Where, std::string Message) {
     Items.push_back({std::move(Where), std::move(Message)});
   }
   bool empty() const { return Items.empty(); }
--- a/base/line_class.h
+++ b/base/line_class.h
@@ -9,7 +9,7 @@
 
 /// Kept: failures, refusals and changes of the catalog state. Routine:
 /// successful work; these lines are dropped first.
-enum class LineClass { Routine, Kept };
+enum class LogClass { Routine, Kept };
 
 } // namespace goldcrestlink
 
--- a/base/time.h
+++ b/base/time.h
@@ -16,13 +16,13 @@
 
 /// The current time on both clocks. Deadlines and leases use Steady; only the
 /// issue times of idempotency keys are compared with Wall.
-struct Now {
+struct CurrentTime {
   Time Steady;
   WallTime Wall;
 };
 
 /// Reads both clocks. Called only by the I/O layer, never by a state machine.
-inline Now presentTime() {
+inline CurrentTime currentTime() {
   return {
       std::chrono::time_point_cast<Duration>(std::chrono::steady_clock::now()),
       std::chrono::time_point_cast<Duration>(std::chrono::system_clock::now())};
--- a/bench/capacity.cc
+++ b/bench/capacity.cc
@@ -65,10 +65,10 @@
 }
 
 double microsPerCall(const std::function<void()> &Do, int Times) {
-  const Time Start = presentTime().Steady;
+  const Time Start = currentTime().Steady;
   for (int I = 0; I < Times; ++I)
     Do();
-  return 1e6 * seconds(presentTime().Steady - Start) / Times;
+  return 1e6 * seconds(currentTime().Steady - Start) / Times;
 }
 
 void measureDeclarations() {
@@ -116,9 +116,9 @@
       for (const std::string &Hash : R.missing())
         R.addChunk(Hash, B.Chunks.at(Hash));
       FindingList Findings;
-      const Time Start = presentTime().Steady;
-      R.takeReady(Findings);
-      return seconds(presentTime().Steady - Start);
+      const Time Start = currentTime().Steady;
+      R.activatePending(Findings);
+      return seconds(currentTime().Steady - Start);
     };
     ApplyChange();
     double Sum = 0;
@@ -133,26 +133,26 @@
 // measures how long it takes until one added adapter is in force at every
 // process.
 void measureApply(const std::string &Programs) {
-  testing::FleetShape Shape;
+  testing::DeploymentOptions Shape;
   Shape.Engines = 4;
   Shape.Adapters = 45000;
-  testing::Fleet Fleet(Shape, Programs, "/tmp/goldcrestlink-capacity");
+  testing::TestDeployment Fleet(Shape, Programs, "/tmp/goldcrestlink-capacity");
   Fleet.start();
   for (uint64_t Generation = 2; Generation <= 4; ++Generation) {
     ++Fleet.Shape.Adapters;
-    const Time Start = presentTime().Steady;
+    const Time Start = currentTime().Steady;
     Fleet.apply();
-    const Time Applied = presentTime().Steady;
-    while (!Fleet.generationInForce(Generation))
+    const Time Applied = currentTime().Steady;
+    while (!Fleet.allHaveGeneration(Generation))
       testing::pauseFor(5);
     std::printf("45,000 adapters, one added: tool %.2f s, then in force at "
                 "all processes after %.2f s\n",
                 seconds(Applied - Start),
-                seconds(presentTime().Steady - Applied));
+                seconds(currentTime().Steady - Applied));
   }
 }
 
-Now timeAt(int64_t Micros) {
+CurrentTime timeAt(int64_t Micros) {
   return {Time(Duration(1000000 + Micros)), WallTime(Duration(1000000))};
 }
 
@@ -162,12 +162,13 @@
   for (const size_t Sides : {20, 80, 320}) {
     const auto D = parse(Sides, 1000);
     const double Before = residentMb();
-    entry::EntryMachine Machine(entry::EntryMachine::Options().setStrategy(
-                                    *findChoiceStrategy("consistent_hash")),
-                                D, "d", 1);
+    entry::EntryStateMachine Machine(
+        entry::EntryStateMachine::Options().setStrategy(
+            *findChoiceStrategy("consistent_hash")),
+        D, "d", 1);
     int64_t Clock = 0;
     const auto RunRequest = [&] {
-      const Now RequestTime = timeAt(Clock += 100);
+      const CurrentTime RequestTime = timeAt(Clock += 100);
       entry::CallerRequest R;
       R.Id = "r" + std::to_string(Clock);
       R.Adapter = "stave-scribe-" + std::to_string(Clock / 100 % 1000);
@@ -175,7 +176,7 @@
       entry::Actions Out;
       Machine.onRequest(RequestTime, R, Out);
       for (const entry::Action &A : entry::Actions(Out))
-        if (const auto *S = std::get_if<entry::SendSide>(&A)) {
+        if (const auto *S = std::get_if<entry::SendToSide>(&A)) {
           wire::Envelope E;
           E.mutable_event()->set_attempt_id(S->Message.attempt().attempt_id());
           E.mutable_event()->set_kind(wire::AttemptEvent::DONE);
@@ -195,8 +196,8 @@
   std::printf("side: waiting attempts, us to admit and cancel one "
               "attempt\n");
   for (const int Waiting : {10, 100, 400}) {
-    side::SideMachine Machine(side::SideMachine::Options(), parse(1, 1000),
-                              "e0", 1);
+    side::SideStateMachine Machine(side::SideStateMachine::Options(),
+                                   parse(1, 1000), "e0", 1);
     int64_t Serial = 0;
     const auto Admit = [&](const std::string &Id) {
       wire::Envelope E;
@@ -239,7 +240,7 @@
                      {"s" + std::to_string(I % 80), I, I % 2, 1, true, {}, {}});
     const auto GrantPermits = [&] {
       Clock += 1;
-      for (const PermitWish &Granted : Broker.grant(timeAt(Clock).Steady)) {
+      for (const PermitRequest &Granted : Broker.grant(timeAt(Clock).Steady)) {
         Broker.release(timeAt(Clock).Steady, Granted.Side, Granted.Adapter,
                        true);
         Broker.request(timeAt(Clock).Steady, Granted);
@@ -261,14 +262,14 @@
                            .setShards(static_cast<uint32_t>(4 * Members))
                            .setDeclaredMembers(Members),
                        "side-" + std::to_string(I), I + 1);
-      ShardEffects Out;
+      ShardChanges Out;
       All.back().plan(timeAt(0).Steady, Table, Out);
       All.back().onWritten(timeAt(0).Steady, timeAt(0).Steady, Table, Out);
     }
     size_t Turn = 0;
     const auto RenewLease = [&] {
       ShardLease &L = All[++Turn % Members];
-      ShardEffects Out;
+      ShardChanges Out;
       L.plan(timeAt(1000).Steady, Table, Out);
       L.onWritten(timeAt(1000).Steady, timeAt(1000).Steady, Table, Out);
     };
@@ -321,16 +322,17 @@
   std::printf("idle: engine sides in the cell, %% of a core per entry, per "
               "engine side, per service side\n");
   for (const size_t Engines : {4, 8, 16}) {
-    testing::FleetShape Shape;
+    testing::DeploymentOptions Shape;
     Shape.Engines = Engines;
     Shape.Adapters = 3000;
-    testing::Fleet Fleet(Shape, Programs, "/tmp/goldcrestlink-capacity");
+    testing::TestDeployment Fleet(Shape, Programs,
+                                  "/tmp/goldcrestlink-capacity");
     Fleet.start();
     testing::pauseFor(3000);
-    const auto Used = [](const std::vector<testing::Member> &Group) {
+    const auto Used = [](const std::vector<testing::ManagedProcess> &Group) {
       double Sum = 0;
-      for (const testing::Member &M : Group)
-        Sum += M.Running->processorSeconds();
+      for (const testing::ManagedProcess &M : Group)
+        Sum += M.Child->processorSeconds();
       return Sum / static_cast<double>(Group.size());
     };
     const double Before[] = {Used(Fleet.Entries), Used(Fleet.EngineSides),
--- a/bench/overhead.cc
+++ b/bench/overhead.cc
@@ -40,7 +40,7 @@
   CallerThread(const std::vector<http::Endpoint> &InTargets,
                size_t InConnections, double Seconds)
       : Targets(InTargets), Client(Io), Connections(InConnections),
-        Until(presentTime().Steady + fromSeconds(Seconds)) {}
+        Until(currentTime().Steady + fromSeconds(Seconds)) {}
 
   void run() {
     for (size_t I = 0; I < Connections; ++I)
@@ -53,7 +53,7 @@
 
 private:
   void next(size_t I) {
-    const Time Sent = presentTime().Steady;
+    const Time Sent = currentTime().Steady;
     if (Sent >= Until)
       return;
     http::Request R;
@@ -66,7 +66,7 @@
                  [this, I, Sent](const http::Response *A, http::CallError) {
                    if (A && A->Head.Status == 200)
                      Millis.push_back(1000 *
-                                      seconds(presentTime().Steady - Sent));
+                                      seconds(currentTime().Steady - Sent));
                    else
                      ++Failed;
                    next(I);
@@ -118,7 +118,7 @@
   std::string Programs = "build";
   double Seconds = 5;
   size_t ManyConnections = 64;
-  testing::FleetShape Shape;
+  testing::DeploymentOptions Shape;
   Shape.Engines = 4;
   Shape.TrafficThreads = 4;
   App.add_option("--programs", Programs, "folder of the built programs");
@@ -139,7 +139,7 @@
   Shape.StepMs = 0;
   Shape.MaxBatch = 256;
   try {
-    testing::Fleet F(Shape, Programs, "/tmp/goldcrestlink-overhead");
+    testing::TestDeployment F(Shape, Programs, "/tmp/goldcrestlink-overhead");
     F.start();
     const std::vector<http::Endpoint> Entry = {F.Entries[0].Http};
     const LoadProfile LowLoad{2, 4, Seconds};
@@ -166,16 +166,16 @@
                 PathLatency.P50Ms - DirectLatency.P50Ms,
                 PathLatency.P99Ms - DirectLatency.P99Ms);
     printMeasurement("direct, many connections", measure(Direct, HighLoad));
-    const double EntryBefore = F.Entries[0].Running->processorSeconds();
+    const double EntryBefore = F.Entries[0].Child->processorSeconds();
     double SidesBefore = 0;
     for (const auto &S : F.EngineSides)
-      SidesBefore += S.Running->processorSeconds();
+      SidesBefore += S.Child->processorSeconds();
     const Measurement PathThroughput = measure(Entry, HighLoad);
     const double EntryUsed =
-        F.Entries[0].Running->processorSeconds() - EntryBefore;
+        F.Entries[0].Child->processorSeconds() - EntryBefore;
     double SidesUsed = -SidesBefore;
     for (const auto &S : F.EngineSides)
-      SidesUsed += S.Running->processorSeconds();
+      SidesUsed += S.Child->processorSeconds();
     printMeasurement("entry and side, many connections", PathThroughput);
     const double Requests = PathThroughput.PerSecond * Seconds;
     std::printf(
--- a/bench/scenario.cc
+++ b/bench/scenario.cc
@@ -74,7 +74,7 @@
   int run() {
     Spec = makeSpec();
     Fleet.start();
-    Start = presentTime().Steady + fromSeconds(WarmUpSeconds);
+    Start = currentTime().Steady + fromSeconds(WarmUpSeconds);
     for (const Arrival &A :
          makeArrivals(Spec, Opts.Seed, -WarmUpSeconds, MeasuredSeconds))
       scheduleAt(A.At, [this, A] { send(A); });
@@ -89,8 +89,8 @@
   }
 
 private:
-  testing::FleetShape shape() const {
-    testing::FleetShape Shape;
+  testing::DeploymentOptions shape() const {
+    testing::DeploymentOptions Shape;
     const bool Totara = Opts.Deployment == "totara";
     Shape.Engines = 20;
     Shape.Services = 3;
@@ -145,7 +145,7 @@
   }
 
   double elapsedSeconds() const {
-    return seconds(presentTime().Steady - Start);
+    return seconds(currentTime().Steady - Start);
   }
 
   void scheduleEvents() {
@@ -236,7 +236,7 @@
              size_t Entry, const std::string &Model) {
     auto Answer = std::make_shared<PendingAnswer>();
     Answer->Result = R;
-    Answer->Sent = presentTime().Steady;
+    Answer->Sent = currentTime().Steady;
     http::CallHandlers On;
     On.OnHead = [Answer](const http::ResponseHead &Head) {
       Answer->Result->Status = Head.Status;
@@ -245,7 +245,7 @@
     On.OnData = [Answer](std::string Part) {
       if (Answer->Result->FirstByte < 0)
         Answer->Result->FirstByte =
-            seconds(presentTime().Steady - Answer->Sent);
+            seconds(currentTime().Steady - Answer->Sent);
       Answer->Body += Part;
     };
     On.OnDone = [this, Answer, Model] { finish(*Answer, true, Model); };
@@ -265,7 +265,7 @@
   void finish(PendingAnswer &Answer, bool Ended, const std::string &Model) {
     RequestResult &R = *Answer.Result;
     R.Ended = true;
-    R.Total = seconds(presentTime().Steady - Answer.Sent);
+    R.Total = seconds(currentTime().Steady - Answer.Sent);
     if (R.Total > RankDeadlineSeconds[R.Rank] + HangGraceSeconds - 1)
       Record.Violations.push_back("hang " + R.Tag);
     if (R.Status != 200) {
@@ -325,7 +325,7 @@
   void sendOrder(bool Resend) {
     auto O = std::make_shared<Order>();
     O->Key = "order-" + std::to_string(++OrderCounter);
-    O->Issued = std::to_string(unixMillis(presentTime().Wall));
+    O->Issued = std::to_string(unixMillis(currentTime().Wall));
     postOrder(O, OrderCounter % Fleet.Entries.size(), elapsedSeconds());
     if (Resend)
       scheduleAt(elapsedSeconds() + ResendAfterSeconds, [this, O] {
@@ -342,7 +342,7 @@
                 {"Idempotency-Key-Issued-At", O->Issued},
                 {"X-Application", "desk"}};
     R.Body = O->Key;
-    const Time Sent = presentTime().Steady;
+    const Time Sent = currentTime().Steady;
     Client.fetch(
         Fleet.Entries[Entry].Http, std::move(R),
         http::CallOptions().setFreshConnection(true),
@@ -358,7 +358,7 @@
             }
           }
           if (End == "ok")
-            Record.OrderSeconds.push_back(seconds(presentTime().Steady - Sent));
+            Record.OrderSeconds.push_back(seconds(currentTime().Steady - Sent));
           if (At >= 0)
             ++Record.OrderOutcomes[End];
         });
@@ -368,8 +368,8 @@
     std::map<std::string, double> Out;
     for (const char *Name : {"steps", "sequence_steps", "adapter_steps",
                              "loads", "violations", "crashes"})
-      Out[Name] = static_cast<double>(Fleet.engineCount(Name));
-    for (const testing::Member &Side : Fleet.EngineSides) {
+      Out[Name] = static_cast<double>(Fleet.sumEngineCounter(Name));
+    for (const testing::ManagedProcess &Side : Fleet.EngineSides) {
       std::istringstream Lines(Fleet.admin(Side.Http, "/metrics", "GET"));
       for (std::string Line; std::getline(Lines, Line);) {
         const size_t End = Line.find('{');
@@ -422,7 +422,7 @@
   RunOptions Opts;
   WorkloadSpec Spec;
   boost::asio::io_context Io{1};
-  testing::Fleet Fleet;
+  testing::TestDeployment Fleet;
   http::Client Client;
   Random Rand;
   Time Start{};
--- a/catalog/catalog.cc
+++ b/catalog/catalog.cc
@@ -100,7 +100,7 @@
   return true;
 }
 
-bool Catalog::applyBeliefs(Time Now, const BeliefUpdate &Update) {
+bool Catalog::applyUpdate(Time Now, const CatalogUpdate &Update) {
   bool Changed = false;
   for (const UpstreamChange &C : Update.Upstreams)
     Changed |=
@@ -113,8 +113,8 @@
   return Changed;
 }
 
-BeliefUpdate Catalog::since(const BeliefRevisions &Known) const {
-  BeliefUpdate Out;
+CatalogUpdate Catalog::since(const CatalogRevisions &Known) const {
+  CatalogUpdate Out;
   Out.AsOf = Current;
   if (ConfigText && Current.Config > Known.Config)
     Out.ConfigText = *ConfigText;
@@ -133,7 +133,7 @@
   return Out;
 }
 
-void Catalog::onStoreRegained(Time Now) {
+void Catalog::onStoreReconnected(Time Now) {
   GraceUntil = Now + Opts.absenceGrace();
 }
 
--- a/catalog/catalog.h
+++ b/catalog/catalog.h
@@ -27,16 +27,16 @@
 
 /// The revision of each part of a process's catalog state. Two processes with
 /// equal revisions have the same catalog state.
-struct BeliefRevisions {
+struct CatalogRevisions {
   /// Version of the configuration.
   uint64_t Config = 0;
   /// Store revisions up to which all changes are known.
   uint64_t Upstreams = 0;
   uint64_t Releases = 0;
 
-  bool operator==(const BeliefRevisions &) const = default;
+  bool operator==(const CatalogRevisions &) const = default;
   /// True if \p Other is newer in any part.
-  bool lacks(const BeliefRevisions &Other) const {
+  bool lacks(const CatalogRevisions &Other) const {
     return Config < Other.Config || Upstreams < Other.Upstreams ||
            Releases < Other.Releases;
   }
@@ -50,14 +50,14 @@
 };
 
 /// A catalog update that one process sends to another whose state is older.
-struct BeliefUpdate {
+struct CatalogUpdate {
   /// The configuration in its encoded form, as the store holds it; empty if
   /// there is no newer one.
   std::string ConfigText;
   std::vector<UpstreamChange> Upstreams;
   std::vector<WeightRelease> Releases;
   /// The sender's revisions.
-  BeliefRevisions AsOf;
+  CatalogRevisions AsOf;
 };
 
 /// Not thread-safe. The configuration is shared between copies, so that a copy
@@ -101,9 +101,9 @@
   bool applyRelease(const WeightRelease &Release);
   /// Applies the upstreams and releases of another process's update. Returns
   /// true if any is new. The caller decodes the configuration and applies it.
-  bool applyBeliefs(Time Now, const BeliefUpdate &Update);
+  bool applyUpdate(Time Now, const CatalogUpdate &Update);
   /// The store is reachable again after an outage; starts the grace period.
-  void onStoreRegained(Time Now);
+  void onStoreReconnected(Time Now);
   /// Removes upstreams whose grace period has ended. Returns true if any was
   /// removed.
   bool onTimer(Time Now);
@@ -125,10 +125,10 @@
     return Upstreams;
   }
   /// True while upstreams are kept that the store does not list.
-  bool hasAbsent() const { return !DeferredRemovals.empty(); }
-  const BeliefRevisions &revisions() const { return Current; }
+  bool hasDeferredRemovals() const { return !DeferredRemovals.empty(); }
+  const CatalogRevisions &revisions() const { return Current; }
   /// The update that brings a process with the revisions \p Known up to date.
-  BeliefUpdate since(const BeliefRevisions &Known) const;
+  CatalogUpdate since(const CatalogRevisions &Known) const;
   const std::map<std::string, WeightRelease, std::less<>> &releases() const {
     return Releases;
   }
@@ -152,7 +152,7 @@
   std::map<std::string, UpstreamRecord> Upstreams;
   // Revisions of each upstream, removed ones included.
   std::map<std::string, Revision> Revisions;
-  BeliefRevisions Current;
+  CatalogRevisions Current;
   std::shared_ptr<const std::string> ConfigText;
   std::map<std::string, WeightRelease, std::less<>> Releases;
   // Removals deferred after an outage of the store, with the end of the grace
--- a/catalog/testing/catalog_test.cc
+++ b/catalog/testing/catalog_test.cc
@@ -95,7 +95,7 @@
   Catalog C;
   const UpstreamRecord Record = record("u");
   C.applyUpstream(at(0), 5, "u", &Record);
-  C.onStoreRegained(at(1000));
+  C.onStoreReconnected(at(1000));
   C.applyUpstream(at(1100), 8, "u", nullptr);
   CHECK(std::string(stateOf(C, "u")) == "ready");
   CHECK_FALSE(C.onTimer(at(3000)));
@@ -111,7 +111,7 @@
   Catalog C;
   const UpstreamRecord Record = record("u");
   C.applyUpstream(at(0), 5, "u", &Record);
-  C.onStoreRegained(at(1000));
+  C.onStoreReconnected(at(1000));
   C.applyUpstream(at(1100), 8, "u", nullptr);
   C.applyUpstream(at(1900), 9, "u", &Record);
   C.onTimer(at(9000));
@@ -160,7 +160,7 @@
   B.applyUpstream(at(0), 6, "v", &OtherRecord);
   B.applyUpstream(at(0), 7, "v", nullptr);
   REQUIRE(B.revisions().lacks(A.revisions()));
-  CHECK(B.applyBeliefs(at(1), A.since(B.revisions())));
+  CHECK(B.applyUpdate(at(1), A.since(B.revisions())));
   CHECK_FALSE(B.revisions().lacks(A.revisions()));
   CHECK(std::string(stateOf(B, "u")) == "draining");
   CHECK(std::string(stateOf(B, "v")) == "absent");
--- a/cli/fleet_view.cc
+++ b/cli/fleet_view.cc
@@ -16,7 +16,7 @@
 
 using Json = nlohmann::ordered_json;
 
-bool isComplete(const BeliefRevisions &R) {
+bool isComplete(const CatalogRevisions &R) {
   return R.Config > 0 && R.Upstreams > 0;
 }
 
@@ -67,12 +67,12 @@
 Catalog readFleet(const http::Endpoint &Store, Duration Timeout) {
   boost::asio::io_context Io{1};
   std::string LastLogLine = "no answer";
-  StoreFollower *WatcherPtr = nullptr;
+  StoreWatcher *WatcherPtr = nullptr;
   const auto StopIfComplete = [&] {
     if (isComplete(WatcherPtr->catalog().revisions()))
       Io.stop();
   };
-  StoreFollower Watcher(
+  StoreWatcher Watcher(
       Io, Store, freshSeed(), StopIfComplete,
       [&](std::string Line) { LastLogLine = std::move(Line); });
   WatcherPtr = &Watcher;
--- a/config/config_replica.cc
+++ b/config/config_replica.cc
@@ -61,7 +61,7 @@
 }
 
 std::shared_ptr<const Declarations>
-ConfigReplica::takeReady(FindingList &Findings) {
+ConfigReplica::activatePending(FindingList &Findings) {
   if (!Pending || !missing().empty())
     return nullptr;
   std::shared_ptr<const Declarations> Parsed;
--- a/config/config_replica.h
+++ b/config/config_replica.h
@@ -33,7 +33,7 @@
   /// Parses the pending generation and makes it active. Returns null if there
   /// is none or chunks are missing. A generation with findings is refused: it
   /// is dropped, and the result is null.
-  std::shared_ptr<const Declarations> takeReady(FindingList &Findings);
+  std::shared_ptr<const Declarations> activatePending(FindingList &Findings);
 
   /// The active declarations; null before the first activation.
   const std::shared_ptr<const Declarations> &current() const {
--- a/config/declarations.cc
+++ b/config/declarations.cc
@@ -63,7 +63,7 @@
 
   // A reference to another section, checked after all files are processed.
   struct Reference {
-    Place Where;
+    FileLocation Where;
     enum class Kind { Rank, Service } What;
     std::string Name;
   };
@@ -88,7 +88,7 @@
   std::unordered_set<std::string> SectionNames;
   std::vector<Reference> References;
   // The first adapter section that names each model.
-  std::unordered_map<std::string, Place> AdapterModels;
+  std::unordered_map<std::string, FileLocation> AdapterModels;
 };
 
 const DeclarationParser::SectionRow DeclarationParser::SectionRows[] = {
@@ -177,7 +177,7 @@
     if (!isValidName(Version))
       F.problem("'" + Version + "' is not a usable version", "versions");
   if (!AdapterModels.count(A.Model))
-    AdapterModels.emplace(A.Model, Place{File, S.Line});
+    AdapterModels.emplace(A.Model, FileLocation{File, S.Line});
   Out.Adapters.emplace(S.Name, std::move(A));
 }
 
@@ -237,7 +237,7 @@
   F.millis("clock_skew_ms", P.ClockSkew, 0, 10000);
   F.millis("key_retention_ms", P.KeyRetention, 1000, MillisPerDay);
   F.millis("lease_ms", P.Lease, 500, 600000);
-  F.millis("quarantine_ms", P.QuarantineFor, 1000, MillisPerDay);
+  F.millis("quarantine_ms", P.QuarantineDuration, 1000, MillisPerDay);
   F.integer("shards_per_service", P.ShardsPerService, 1, 1024);
 }
 
@@ -262,7 +262,7 @@
   double Sum = 0;
   for (const RankDecl &R : Out.Ranks)
     Sum += R.Share;
-  const Place Where{File, 0};
+  const FileLocation Where{File, 0};
   if (Out.Ranks.empty() || Out.Ranks.size() > MaxRanks)
     Findings.add(Where,
                  "declare from 1 to " + std::to_string(MaxRanks) + " ranks");
--- a/config/declarations.h
+++ b/config/declarations.h
@@ -117,7 +117,7 @@
   /// Length of the lease under which a side owns shards.
   Duration Lease = std::chrono::seconds(60);
   /// How long requests with a quarantined fingerprint are refused.
-  Duration QuarantineFor = std::chrono::minutes(10);
+  Duration QuarantineDuration = std::chrono::minutes(10);
   int64_t ShardsPerService = 16;
 };
 
--- a/config/settings.cc
+++ b/config/settings.cc
@@ -86,13 +86,13 @@
 void readBounds(FieldReader &F, Settings &Out) {
   FleetSettings &S = Out.Fleet;
   double WindowSeconds = seconds(S.RetryWindow);
-  double StopSeconds = seconds(S.StopTime);
+  double StopSeconds = seconds(S.StopTimeout);
   F.number("retry_ratio", S.RetryRatio, 0, 10);
   F.number("retry_slack", S.RetrySlack, 0, 1e9);
   F.number("retry_window_s", WindowSeconds, 0.1, 3600);
   F.number("stop_s", StopSeconds, 0.5, 3600);
   S.RetryWindow = fromSeconds(WindowSeconds);
-  S.StopTime = fromSeconds(StopSeconds);
+  S.StopTimeout = fromSeconds(StopSeconds);
 }
 
 struct SectionRow {
--- a/config/settings.h
+++ b/config/settings.h
@@ -40,7 +40,7 @@
   double RetrySlack = 50;
   Duration RetryWindow = std::chrono::seconds(10);
   /// The process exits within this time after SIGTERM.
-  Duration StopTime = std::chrono::seconds(8);
+  Duration StopTimeout = std::chrono::seconds(8);
 };
 
 /// Plain values; immutable after loading.
@@ -80,7 +80,7 @@
   bool EvictByRecency = false;
   FleetSettings Fleet;
   /// True if the process uses the platform's store.
-  bool onFleet() const { return Fleet.Store.Port != 0; }
+  bool usesPlatformStore() const { return Fleet.Store.Port != 0; }
 };
 
 /// Parses and checks the text of a settings file. Throws FindingError with all
--- a/config/testing/config_test.cc
+++ b/config/testing/config_test.cc
@@ -221,14 +221,14 @@
   CHECK(Replica.offerHead("garbage").empty());
   CHECK(Replica.offerHead(Second.Head.text()).size() == 1);
   Replica.addChunk(Second.Head.ChunkHashes[0], "damaged");
-  CHECK_FALSE(Replica.takeReady(Findings));
+  CHECK_FALSE(Replica.activatePending(Findings));
   Replica.addChunk(Second.Head.ChunkHashes[0], Second.Chunks.begin()->second);
-  REQUIRE(Replica.takeReady(Findings));
+  REQUIRE(Replica.activatePending(Findings));
   CHECK(Replica.generation() == 2);
   CHECK(Replica.offerHead(First.Head.text()).empty());
   Replica.offerHead(Invalid.Head.text());
   Replica.addChunk(Invalid.Head.ChunkHashes[0], Invalid.Chunks.begin()->second);
-  CHECK_FALSE(Replica.takeReady(Findings));
+  CHECK_FALSE(Replica.activatePending(Findings));
   CHECK_FALSE(Findings.empty());
   CHECK(Replica.generation() == 2);
 }
--- a/daemon/admission_codec.cc
+++ b/daemon/admission_codec.cc
@@ -10,7 +10,7 @@
 constexpr double MinPrefillTokensPerMs = 0.1;
 } // namespace
 
-wire::Envelope encodeAdmissionRequest(const AdmissionAsk &Request) {
+wire::Envelope encodeAdmissionRequest(const AdmissionRequest &Request) {
   wire::Envelope Out;
   wire::AdmissionAsk &Message = *Out.mutable_admission_ask();
   Message.set_id(Request.Id);
@@ -20,16 +20,16 @@
   Message.set_rank(Request.Rank);
   Message.set_prompt_tokens(Request.PromptTokens);
   Message.set_output_tokens(Request.OutputTokens);
-  Message.set_patience_us(static_cast<uint64_t>(Request.Patience.count()));
+  Message.set_patience_us(static_cast<uint64_t>(Request.MaxWait.count()));
   Message.set_time_left_us(static_cast<uint64_t>(Request.TimeLeft.count()));
   Message.set_prefetch(Request.Prefetch);
   Message.set_objective_left_us(Request.ObjectiveLeft.count());
   return Out;
 }
 
-AdmissionAsk decodeAdmissionRequest(const wire::AdmissionAsk &Message,
-                                    std::string Peer) {
-  AdmissionAsk Request;
+AdmissionRequest decodeAdmissionRequest(const wire::AdmissionAsk &Message,
+                                        std::string Peer) {
+  AdmissionRequest Request;
   Request.Peer = std::move(Peer);
   Request.Id = Message.id();
   Request.Model = Message.model();
@@ -38,7 +38,7 @@
   Request.Rank = Message.rank();
   Request.PromptTokens = Message.prompt_tokens();
   Request.OutputTokens = Message.output_tokens();
-  Request.Patience = Duration(static_cast<int64_t>(Message.patience_us()));
+  Request.MaxWait = Duration(static_cast<int64_t>(Message.patience_us()));
   Request.TimeLeft = Duration(static_cast<int64_t>(Message.time_left_us()));
   Request.Prefetch = Message.prefetch();
   Request.ObjectiveLeft = Duration(Message.objective_left_us());
@@ -49,8 +49,8 @@
   wire::Envelope Out;
   wire::AdmissionReply &Message = *Out.mutable_admission_reply();
   Message.set_id(RequestId);
-  Message.set_verdict(Reply.What == Verdict::Go ? wire::AdmissionReply::GO
-                      : Reply.What == Verdict::Wait
+  Message.set_verdict(Reply.Decision == Verdict::Go ? wire::AdmissionReply::GO
+                      : Reply.Decision == Verdict::Wait
                           ? wire::AdmissionReply::WAIT
                           : wire::AdmissionReply::REFUSE);
   Message.set_version(Reply.Version);
@@ -61,10 +61,10 @@
 
 AdmissionReply decodeReply(const wire::AdmissionReply &Message) {
   AdmissionReply Reply;
-  Reply.What = Message.verdict() == wire::AdmissionReply::GO ? Verdict::Go
-               : Message.verdict() == wire::AdmissionReply::WAIT
-                   ? Verdict::Wait
-                   : Verdict::Refuse;
+  Reply.Decision = Message.verdict() == wire::AdmissionReply::GO ? Verdict::Go
+                   : Message.verdict() == wire::AdmissionReply::WAIT
+                       ? Verdict::Wait
+                       : Verdict::Refuse;
   Reply.Version = Message.version();
   Reply.Expected = Duration(static_cast<int64_t>(Message.expected_us()));
   Reply.TryElsewhere = !Message.only_holders();
--- a/daemon/admission_codec.h
+++ b/daemon/admission_codec.h
@@ -12,9 +12,9 @@
 
 // All functions are thread-safe.
 
-wire::Envelope encodeAdmissionRequest(const AdmissionAsk &Request);
-AdmissionAsk decodeAdmissionRequest(const wire::AdmissionAsk &Message,
-                                    std::string Peer);
+wire::Envelope encodeAdmissionRequest(const AdmissionRequest &Request);
+AdmissionRequest decodeAdmissionRequest(const wire::AdmissionAsk &Message,
+                                        std::string Peer);
 wire::Envelope encodeReply(uint64_t RequestId, const AdmissionReply &Reply);
 AdmissionReply decodeReply(const wire::AdmissionReply &Message);
 wire::Envelope encodeEnd(uint64_t RequestId, Duration FirstToken);
--- a/daemon/belief_codec.cc
+++ b/daemon/belief_codec.cc
@@ -7,7 +7,7 @@
 
 namespace {
 
-void fillRevisions(wire::BeliefRevisions &Message, const BeliefRevisions &R) {
+void fillRevisions(wire::BeliefRevisions &Message, const CatalogRevisions &R) {
   Message.set_config_version(R.Config);
   Message.set_upstreams(R.Upstreams);
   Message.set_releases(R.Releases);
@@ -44,19 +44,19 @@
 
 } // namespace
 
-wire::Envelope encodeDigest(const BeliefRevisions &R) {
+wire::Envelope encodeDigest(const CatalogRevisions &R) {
   wire::Envelope Out;
   fillRevisions(*Out.mutable_digest(), R);
   return Out;
 }
 
-wire::Envelope encodeCatalogRequest(const BeliefRevisions &Known) {
+wire::Envelope encodeCatalogRequest(const CatalogRevisions &Known) {
   wire::Envelope Out;
   fillRevisions(*Out.mutable_belief_request(), Known);
   return Out;
 }
 
-wire::Envelope encodeCatalogUpdate(const BeliefUpdate &Update) {
+wire::Envelope encodeCatalogUpdate(const CatalogUpdate &Update) {
   wire::Envelope Out;
   wire::Beliefs &Message = *Out.mutable_beliefs();
   Message.set_config(Update.ConfigText);
@@ -73,12 +73,12 @@
   return Out;
 }
 
-BeliefRevisions decodeRevisions(const wire::BeliefRevisions &Message) {
+CatalogRevisions decodeRevisions(const wire::BeliefRevisions &Message) {
   return {Message.config_version(), Message.upstreams(), Message.releases()};
 }
 
-BeliefUpdate decodeCatalogUpdate(const wire::Beliefs &Message) {
-  BeliefUpdate Update;
+CatalogUpdate decodeCatalogUpdate(const wire::Beliefs &Message) {
+  CatalogUpdate Update;
   Update.ConfigText = Message.config();
   for (const wire::Beliefs::Upstream &Item : Message.upstreams()) {
     try {
--- a/daemon/belief_codec.h
+++ b/daemon/belief_codec.h
@@ -15,13 +15,13 @@
 // All functions are thread-safe.
 
 /// Announces the revisions of the sender's catalog.
-wire::Envelope encodeDigest(const BeliefRevisions &Revisions);
+wire::Envelope encodeDigest(const CatalogRevisions &Revisions);
 /// Requests the state that is newer than \p Known.
-wire::Envelope encodeCatalogRequest(const BeliefRevisions &Known);
-wire::Envelope encodeCatalogUpdate(const BeliefUpdate &Update);
-BeliefRevisions decodeRevisions(const wire::BeliefRevisions &Message);
+wire::Envelope encodeCatalogRequest(const CatalogRevisions &Known);
+wire::Envelope encodeCatalogUpdate(const CatalogUpdate &Update);
+CatalogRevisions decodeRevisions(const wire::BeliefRevisions &Message);
 /// Omits upstreams whose address cannot be parsed.
-BeliefUpdate decodeCatalogUpdate(const wire::Beliefs &Message);
+CatalogUpdate decodeCatalogUpdate(const wire::Beliefs &Message);
 
 } // namespace goldcrestlink
 
--- a/daemon/belief_exchange.cc
+++ b/daemon/belief_exchange.cc
@@ -4,8 +4,8 @@
 namespace goldcrestlink {
 
 std::optional<wire::Envelope>
-CatalogExchange::requestMissing(Time Now, const BeliefRevisions &Theirs,
-                                const BeliefRevisions &Own) {
+CatalogExchange::requestMissing(Time Now, const CatalogRevisions &Theirs,
+                                const CatalogRevisions &Own) {
   if (!Own.lacks(Theirs) || Now < NextRequest)
     return std::nullopt;
   NextRequest = Now + MinRequestInterval;
--- a/daemon/belief_exchange.h
+++ b/daemon/belief_exchange.h
@@ -18,8 +18,8 @@
   /// A request for the state that \p Theirs has and \p Own lacks; nullopt if
   /// there is none or the last request is less than MinRequestInterval ago.
   std::optional<wire::Envelope> requestMissing(Time Now,
-                                               const BeliefRevisions &Theirs,
-                                               const BeliefRevisions &Own);
+                                               const CatalogRevisions &Theirs,
+                                               const CatalogRevisions &Own);
 
   /// Several processes may announce the same state at once; it is requested at
   /// most this often.
--- a/daemon/config_keeper.cc
+++ b/daemon/config_keeper.cc
@@ -146,7 +146,7 @@
 
 void ConfigUpdater::tryPublish() {
   FindingList Findings;
-  const auto Ready = Replica.takeReady(Findings);
+  const auto Ready = Replica.activatePending(Findings);
   if (!Findings.empty())
     LOG(ERROR) << "configuration refused:\n" << Findings.text();
   if (!Ready)
--- a/daemon/decision_log.cc
+++ b/daemon/decision_log.cc
@@ -21,7 +21,7 @@
 
 // The timestamp allows the logs of several processes to be merged in order.
 std::string withTimestamp(const std::string &Line) {
-  const int64_t Ms = unixMillis(presentTime().Wall);
+  const int64_t Ms = unixMillis(currentTime().Wall);
   char Timestamp[40];
   std::snprintf(Timestamp, sizeof(Timestamp), "t=%lld.%03d ",
                 static_cast<long long>(Ms / 1000), static_cast<int>(Ms % 1000));
--- a/daemon/entry_daemon.cc
+++ b/daemon/entry_daemon.cc
@@ -75,7 +75,7 @@
       Worker->stop();
     for (std::thread &WorkerThread : Threads)
       WorkerThread.join();
-    Log.finish(presentTime().Steady);
+    Log.finish(currentTime().Steady);
     LOG(INFO) << "entry " << ProcessSettings.InstanceName << " stopped";
     return 0;
   }
@@ -142,7 +142,7 @@
       return;
     }
     // A higher generation means that the peer has a newer configuration.
-    const Time Now = presentTime().Steady;
+    const Time Now = currentTime().Steady;
     if (Message.generation() > Updater.replica().generation() &&
         Now >= NextConfigRequest) {
       NextConfigRequest = Now + DrainInterval;
@@ -151,7 +151,7 @@
   }
 
   void drainQueues() {
-    Log.drain(presentTime().Steady);
+    Log.drain(currentTime().Steady);
     Metrics.collect();
     DrainTimer.expires_after(DrainInterval);
     DrainTimer.async_wait([this](boost::system::error_code Error) {
@@ -192,7 +192,7 @@
     else
       for (const http::Endpoint &Peer : ProcessSettings.Peers)
         Workers.front()->send(Peer.text(), Message);
-    const Time Now = presentTime().Steady;
+    const Time Now = currentTime().Steady;
     if (Now >= NextReport) {
       NextReport = Now + ReportInterval;
       report();
@@ -207,7 +207,7 @@
   void beginStop() {
     LOG(INFO) << "stopping: not ready, still serving";
     Shutdown.begin(
-        presentTime().Steady,
+        currentTime().Steady,
         {StopNotice, StopFlush, StopNotice + ProcessSettings.DrainTimeout});
   }
 
--- a/daemon/entry_shard.cc
+++ b/daemon/entry_shard.cc
@@ -33,8 +33,9 @@
       .setSharePort(ProcessSettings.TrafficThreads > 1);
 }
 
-entry::EntryMachine::Options machineOptions(const Settings &ProcessSettings) {
-  return entry::EntryMachine::Options()
+entry::EntryStateMachine::Options
+machineOptions(const Settings &ProcessSettings) {
+  return entry::EntryStateMachine::Options()
       .setMaxRequests(
           static_cast<size_t>(ProcessSettings.MaxRequestsInProgress))
       .setStrategy(*findChoiceStrategy(ProcessSettings.Routing));
@@ -64,12 +65,12 @@
   void refuse(http::Responder &Answer, Code Why, const std::string &Id,
               std::string_view Detail);
   void perform(entry::Actions &Out);
-  void perform(entry::SendSide &Action);
+  void perform(entry::SendToSide &Action);
   void perform(entry::ResetConnection &Action);
   void perform(entry::DeliverHead &Action);
   void perform(entry::DeliverData &Action);
   void perform(entry::DeliverEnd &Action);
-  void perform(entry::DeliverWhole &Action);
+  void perform(entry::DeliverFullAnswer &Action);
   void perform(entry::DeliverError &Action);
   void perform(entry::LogDecision &Action) {
     Sinks.Log(Action.Class, std::move(Action.Line));
@@ -91,7 +92,7 @@
   boost::asio::executor_work_guard<boost::asio::io_context::executor_type>
       WorkGuard;
   Random RandomSource;
-  std::unique_ptr<entry::EntryMachine> Machine;
+  std::unique_ptr<entry::EntryStateMachine> Machine;
   SideConnectionPool Sides;
   std::unordered_map<std::string, std::shared_ptr<http::Responder>> Responders;
   std::vector<std::string> FailedAttemptIds;
@@ -115,14 +116,14 @@
     const size_t At = std::min(Model.find('@'), Model.size());
     return Answer.whole(
         200, {{"Content-Type", "text/plain"}},
-        Machine->explain(presentTime(), Model.substr(0, At),
+        Machine->explain(currentTime(), Model.substr(0, At),
                          Model.substr(std::min(At + 1, Model.size()))));
   }
   std::string Text = "generation " +
                      std::to_string(Machine ? Machine->generation() : 0) +
                      "\nin_progress " + std::to_string(InProgress) + "\n";
   if (Machine)
-    for (const std::string &Name : Machine->availableUpstreams(presentTime()))
+    for (const std::string &Name : Machine->availableUpstreams(currentTime()))
       Text += "available " + Name + "\n";
   Answer.whole(200, {{"Content-Type", "text/plain"}}, Text);
 }
@@ -165,11 +166,11 @@
     if (!Responders.erase(Id))
       return;
     entry::Actions Out;
-    Machine->onCallerGone(presentTime(), Id, Out);
+    Machine->onCallerGone(currentTime(), Id, Out);
     perform(Out);
   });
   entry::Actions Out;
-  Machine->onRequest(presentTime(), std::move(Parsed.Request), Out);
+  Machine->onRequest(currentTime(), std::move(Parsed.Request), Out);
   perform(Out);
 }
 
@@ -181,7 +182,7 @@
     FailedAttemptIds.clear();
     for (const std::string &Id : FailedIds) {
       entry::Actions FurtherActions;
-      Machine->onSendFailed(presentTime(), Id, FurtherActions);
+      Machine->onSendFailed(currentTime(), Id, FurtherActions);
       for (entry::Action &Action : FurtherActions)
         std::visit([this](auto &One) { perform(One); }, Action);
     }
@@ -189,7 +190,7 @@
   InProgress = Machine->requestsInProgress();
 }
 
-void EntryWorker::State::perform(entry::SendSide &Action) {
+void EntryWorker::State::perform(entry::SendToSide &Action) {
   SideConnection *Side = Sides.find(Action.Upstream);
   if (!Action.Message.has_attempt()) {
     if (Side)
@@ -233,7 +234,7 @@
     Answer->end();
 }
 
-void EntryWorker::State::perform(entry::DeliverWhole &Action) {
+void EntryWorker::State::perform(entry::DeliverFullAnswer &Action) {
   if (auto Answer = takeResponder(Action.RequestId))
     Answer->whole(Action.Status,
                   {{"Content-Type", Action.ContentType},
@@ -270,7 +271,7 @@
   if (!Machine)
     return;
   entry::Actions Out;
-  Machine->onEnvelope(presentTime(), Upstream, Message, Out);
+  Machine->onEnvelope(currentTime(), Upstream, Message, Out);
   perform(Out);
 }
 
@@ -278,7 +279,7 @@
   if (Machine)
     Machine->onConfig(Config);
   else
-    Machine = std::make_unique<entry::EntryMachine>(
+    Machine = std::make_unique<entry::EntryStateMachine>(
         machineOptions(ProcessSettings), Config, ProcessSettings.Cell, Seed);
   Sides.onConfig(Config);
   // Connections are opened ahead of the first request.
@@ -291,7 +292,7 @@
   Sides.flush();
   if (Machine) {
     entry::Actions Out;
-    Machine->onTimer(presentTime(), Out);
+    Machine->onTimer(currentTime(), Out);
     perform(Out);
   }
   TickTimer.expires_after(TickInterval);
--- a/daemon/entry_traffic.cc
+++ b/daemon/entry_traffic.cc
@@ -98,7 +98,7 @@
         .setMaxConnections(static_cast<size_t>(ProcessSettings.MaxConnections));
   }
 
-  static Time now() { return presentTime().Steady; }
+  static Time now() { return currentTime().Steady; }
 
   // Callers.
 
@@ -125,21 +125,21 @@
 
   // ForwardPort.
 
-  void ask(const UpstreamRecord &Upstream,
-           const AdmissionAsk &Request) override {
+  void requestAdmission(const UpstreamRecord &Upstream,
+                        const AdmissionRequest &Request) override {
     Side &Engine = sideOf(Upstream);
     wire::Envelope E = encodeAdmissionRequest(Request);
     Engine.Connection->sendOrQueue(E);
   }
 
-  void endAsk(const UpstreamRecord &Upstream, uint64_t RequestId,
-              Duration FirstToken) override {
+  void endAdmission(const UpstreamRecord &Upstream, uint64_t RequestId,
+                    Duration FirstToken) override {
     wire::Envelope E = encodeEnd(RequestId, FirstToken);
     sideOf(Upstream).Connection->sendOrQueue(E);
   }
 
-  void send(forward::SendId Id, const forward::CallerCall &Call,
-            const forward::SendTerms &Terms) override {
+  void send(forward::SendId Id, const forward::IncomingCall &Call,
+            const forward::SendOptions &Terms) override {
     http::CallOptions Options;
     Options.setConnectTimeout(ConnectTimeout)
         .setSilenceTimeout(SilenceTimeout)
@@ -198,8 +198,8 @@
     return Answer;
   }
 
-  void answerWhole(uint64_t Call, unsigned Status, const http::Headers &Fields,
-                   std::string Body) override {
+  void answerInFull(uint64_t Call, unsigned Status, const http::Headers &Fields,
+                    std::string Body) override {
     if (auto Answer = responderOf(Call, true))
       Answer->whole(Status, Fields, std::move(Body));
   }
@@ -220,11 +220,12 @@
     if (auto Answer = responderOf(Call, true))
       Answer->abort();
   }
-  void answerOwn(uint64_t Call, unsigned Status, std::string_view RequestId,
-                 Duration RetryAfter, forward::EndReason Why) override {
+  void answerWithError(uint64_t Call, unsigned Status,
+                       std::string_view RequestId, Duration RetryAfter,
+                       forward::EndReason Why) override {
     if (auto Answer = responderOf(Call, true))
       Answer->whole(Status, platform::ownAnswerFields(RequestId, RetryAfter),
-                    std::string(forward::wordOf(Why)) + "\n");
+                    std::string(forward::endReasonName(Why)) + "\n");
   }
 
   void log(LineClass Class, std::string Line) override {
@@ -291,8 +292,8 @@
     return false;
   }
 
-  BeliefRevisions ownRevisions() const {
-    return KnownCatalog ? KnownCatalog->revisions() : BeliefRevisions();
+  CatalogRevisions ownRevisions() const {
+    return KnownCatalog ? KnownCatalog->revisions() : CatalogRevisions();
   }
 
   void sendDigests() {
@@ -317,7 +318,7 @@
             Io, Context, Address, "", [this, Address](wire::Envelope &Message) {
               onCatalogMessage(*PeerConnections[Address], Message);
             });
-      wire::Envelope E = encodeCatalogRequest(BeliefRevisions());
+      wire::Envelope E = encodeCatalogRequest(CatalogRevisions());
       Connection->sendOrQueue(E);
       Connection->flush();
     }
@@ -360,7 +361,7 @@
     Sinks.EntryCount(Count);
   }
 
-  void sideSilent(const UpstreamRecord &U) override {
+  void onSideTimeout(const UpstreamRecord &U) override {
     Side &Silent = sideOf(U);
     const Time Now = now();
     if (Now - Silent.ResetAt < MinResetInterval)
--- a/daemon/entry_traffic.h
+++ b/daemon/entry_traffic.h
@@ -23,7 +23,7 @@
 struct TrafficSinks {
   std::function<void(LineClass, std::string)> Log;
   /// Newer catalog state received from another process.
-  std::function<void(BeliefUpdate)> CatalogUpdates;
+  std::function<void(CatalogUpdate)> CatalogUpdates;
   /// The number of running entries, this one included, when it changes.
   std::function<void(size_t)> EntryCount;
 };
--- a/daemon/fleet_entry.cc
+++ b/daemon/fleet_entry.cc
@@ -45,7 +45,7 @@
                 {[this](LineClass Class, std::string Line) {
                    Control.log(Class, std::move(Line));
                  },
-                 [this](BeliefUpdate Update) {
+                 [this](CatalogUpdate Update) {
                    boost::asio::post(Io, [this, Update = std::move(Update)] {
                      Store.onCatalogUpdate(Update);
                    });
@@ -99,9 +99,9 @@
   }
 
   void beginStop() {
-    Shutdown.begin(
-        presentTime().Steady,
-        {StopNotice, StopFlush, ProcessSettings.Fleet.StopTime - ExitMargin});
+    Shutdown.begin(currentTime().Steady,
+                   {StopNotice, StopFlush,
+                    ProcessSettings.Fleet.StopTimeout - ExitMargin});
   }
 
   Settings ProcessSettings;
@@ -109,7 +109,7 @@
   boost::asio::io_context Io{1};
   ProcessControl Control;
   EntryTraffic Traffic;
-  StoreFollower Store;
+  StoreWatcher Store;
   GracefulShutdown Shutdown;
 };
 
--- a/daemon/fleet_side.cc
+++ b/daemon/fleet_side.cc
@@ -85,7 +85,7 @@
   }
 
 private:
-  static Time now() { return presentTime().Steady; }
+  static Time now() { return currentTime().Steady; }
 
   // Control thread.
 
@@ -102,8 +102,8 @@
     const Time Now = now();
     const bool IsNew = LastSeen.insert_or_assign(Peer, Now).second;
     if (Message.has_admission_ask())
-      Admission.onAsk(Now,
-                      decodeAdmissionRequest(Message.admission_ask(), Peer));
+      Admission.onAdmissionRequest(
+          Now, decodeAdmissionRequest(Message.admission_ask(), Peer));
     else if (Message.has_admission_end())
       Admission.onEnd(Now, Peer, Message.admission_end().id(),
                       Duration(static_cast<int64_t>(
@@ -121,8 +121,8 @@
   void onCatalogMessage(Time Now, const std::string &Peer,
                         wire::Envelope &Message) {
     if (Message.has_digest()) {
-      const BeliefRevisions Theirs = decodeRevisions(Message.digest());
-      const BeliefRevisions &Own = KnownCatalog.revisions();
+      const CatalogRevisions Theirs = decodeRevisions(Message.digest());
+      const CatalogRevisions &Own = KnownCatalog.revisions();
       if (auto E = Exchange.requestMissing(Now, Theirs, Own))
         send(Peer, *E);
       if (Theirs.lacks(Own)) {
@@ -139,9 +139,9 @@
   }
 
   void onCatalogUpdate(Time Now, const std::string &From,
-                       const BeliefUpdate &Update) {
-    const BeliefRevisions Before = KnownCatalog.revisions();
-    KnownCatalog.applyBeliefs(Now, Update);
+                       const CatalogUpdate &Update) {
+    const CatalogRevisions Before = KnownCatalog.revisions();
+    KnownCatalog.applyUpdate(Now, Update);
     for (const WeightRelease &R : Update.Releases)
       Admission.onRelease(Now, R);
     if (!Update.ConfigText.empty())
@@ -184,17 +184,17 @@
       LastSeen.erase(Peer);
   }
 
-  void reply(const AdmissionAsk &Request,
+  void reply(const AdmissionRequest &Request,
              const AdmissionReply &Reply) override {
-    if (Reply.What == Verdict::Refuse)
+    if (Reply.Decision == Verdict::Refuse)
       Control.log(
           LineClass::Routine,
           "refuse ask=" + std::to_string(Request.Id) +
               " adapter=" + Request.Model + "/" + Request.Adapter +
               " rank=" + std::to_string(Request.Rank) +
-              " reason=" + std::string(Reply.Reason) + " expected_ms=" +
-              std::to_string(Reply.Expected.count() / 1000) + " patience_ms=" +
-              std::to_string(Request.Patience.count() / 1000) +
+              " reason=" + std::string(Reply.Reason) +
+              " expected_ms=" + std::to_string(Reply.Expected.count() / 1000) +
+              " patience_ms=" + std::to_string(Request.MaxWait.count() / 1000) +
               " granted=" + std::to_string(Admission.granted()) +
               " granted_tokens=" + std::to_string(Admission.grantedTokens()) +
               " waiting=" + std::to_string(Admission.waiting()) +
@@ -285,7 +285,7 @@
     const Time Now = now();
     if (!R || R->Head.Status != 200) {
       if (++MissedReports >= MaxMissedReports)
-        Admission.onEngineSilent(Now);
+        Admission.onEngineUnreachable(Now);
       return;
     }
     MissedReports = 0;
--- a/daemon/main.cc
+++ b/daemon/main.cc
@@ -19,7 +19,7 @@
 int runRole(const goldcrestlink::Settings &ProcessSettings,
             const std::string &File) {
   using goldcrestlink::Role;
-  if (ProcessSettings.onFleet())
+  if (ProcessSettings.usesPlatformStore())
     return ProcessSettings.ProcessRole == Role::Entry
                ? goldcrestlink::runFleetEntry(ProcessSettings, File)
                : goldcrestlink::runFleetSide(ProcessSettings, File);
--- a/daemon/planned_stop.cc
+++ b/daemon/planned_stop.cc
@@ -31,7 +31,7 @@
 // \p IdleSince is when a poll first found no call in progress; Time{} if the
 // last poll found one.
 void GracefulShutdown::awaitDrained(Time IdleSince) {
-  const Time Now = presentTime().Steady;
+  const Time Now = currentTime().Steady;
   if (On.CallsInProgress() > 0)
     IdleSince = Time{};
   else if (IdleSince == Time{})
--- a/daemon/process_control.cc
+++ b/daemon/process_control.cc
@@ -39,7 +39,7 @@
               });
             });
           }),
-      NextFileCheck(presentTime().Steady + FileCheckInterval) {
+      NextFileCheck(currentTime().Steady + FileCheckInterval) {
   LastText = fileText();
   log("start instance=" + InSettings.InstanceName +
       " role=" + (InSettings.ProcessRole == Role::Entry ? "entry" : "side") +
@@ -51,10 +51,10 @@
 
 ProcessControl::~ProcessControl() = default;
 
-void ProcessControl::flush() { Log.finish(presentTime().Steady); }
+void ProcessControl::flush() { Log.finish(currentTime().Steady); }
 
 void ProcessControl::drain() {
-  const Time Now = presentTime().Steady;
+  const Time Now = currentTime().Steady;
   Log.drain(Now);
   if (Now >= NextFileCheck) {
     NextFileCheck = Now + FileCheckInterval;
--- a/daemon/shard_keeper.cc
+++ b/daemon/shard_keeper.cc
@@ -12,7 +12,7 @@
       Lease(std::move(InLease)), ReportEffects(std::move(InReport)) {}
 
 void ShardLeaseManager::step(Time Now) {
-  if (CallPending || !Lease.due(Now) || Lease.released())
+  if (CallPending || !Lease.renewalDue(Now) || Lease.released())
     return;
   CallPending = true;
   Platform.read(TableName,
@@ -22,7 +22,7 @@
 }
 
 void ShardLeaseManager::onRead(ObjectStatus Status, const ObjectValue &Value) {
-  const Time ReadAt = presentTime().Steady;
+  const Time ReadAt = currentTime().Steady;
   wire::ShardTable Table;
   const bool Readable =
       Status == ObjectStatus::NotFound ||
@@ -31,19 +31,19 @@
     CallPending = false;
     return Lease.onFailed(ReadAt);
   }
-  ShardEffects PlannedEffects;
+  ShardChanges PlannedEffects;
   Lease.plan(ReadAt, Table, PlannedEffects);
   ReportEffects(std::move(PlannedEffects));
   const uint64_t Version = Status == ObjectStatus::Ok ? Value.Version : 0;
-  const Time SentAt = presentTime().Steady;
+  const Time SentAt = currentTime().Steady;
   Platform.put(
       TableName, Version, Table.SerializeAsString(),
       [this, Table, SentAt](ObjectStatus WriteStatus, const ObjectValue &) {
         CallPending = false;
-        const Time Now = presentTime().Steady;
+        const Time Now = currentTime().Steady;
         if (WriteStatus != ObjectStatus::Ok)
           return Lease.onFailed(Now);
-        ShardEffects WrittenEffects;
+        ShardChanges WrittenEffects;
         Lease.onWritten(SentAt, Now, Table, WrittenEffects);
         ReportEffects(std::move(WrittenEffects));
       });
--- a/daemon/shard_keeper.h
+++ b/daemon/shard_keeper.h
@@ -19,7 +19,7 @@
 /// Not thread-safe.
 class ShardLeaseManager {
 public:
-  using OnEffects = std::function<void(ShardEffects)>;
+  using OnEffects = std::function<void(ShardChanges)>;
   /// \p TableName is the name of the shard table's object on the platform.
   ShardLeaseManager(ObjectClient &Platform, std::string TableName,
                     ShardLease Lease, OnEffects ReportEffects);
--- a/daemon/side_daemon.cc
+++ b/daemon/side_daemon.cc
@@ -72,7 +72,7 @@
     Io.run();
     Traffic.stop();
     Thread.join();
-    Log.finish(presentTime().Steady);
+    Log.finish(currentTime().Steady);
     LOG(INFO) << "side " << ProcessSettings.InstanceName << " stopped";
     return 0;
   }
@@ -136,7 +136,7 @@
         ProcessSettings.Upstream, Seed);
     ShardLeases = std::make_unique<ShardLeaseManager>(
         Platform, objects::shardTable(Self.Group), std::move(Lease),
-        [this](ShardEffects Effects) {
+        [this](ShardChanges Effects) {
           Traffic.applyShards(std::move(Effects));
         });
   }
@@ -149,7 +149,7 @@
       return Updater.onPeerReply(Peer, Message.config_reply());
     if (Message.has_membership())
       return applyMembership(Message.membership());
-    const Time Now = presentTime().Steady;
+    const Time Now = currentTime().Steady;
     if (Message.has_report())
       return Status.record(Now, Message.report());
     if (Message.generation() > Updater.replica().generation() &&
@@ -185,7 +185,7 @@
     Traffic.setDraining(SelfDraining || Stopping);
     if (ShardLeases)
       ShardLeases->onGone(
-          presentTime().Steady,
+          currentTime().Steady,
           std::set<std::string>(Notice.gone().begin(), Notice.gone().end()));
   }
 
@@ -209,7 +209,7 @@
         return;
       LastSerializedNotice = std::move(SerializedNotice);
       Notice.set_revision(
-          static_cast<uint64_t>(unixMillis(presentTime().Wall)));
+          static_cast<uint64_t>(unixMillis(currentTime().Wall)));
       applyMembership(Notice);
       wire::Envelope Message = newEnvelope();
       *Message.mutable_membership() = Notice;
@@ -244,7 +244,7 @@
   }
 
   void step() {
-    const Time Now = presentTime().Steady;
+    const Time Now = currentTime().Steady;
     Log.drain(Now);
     if (ShardLeases)
       ShardLeases->step(Now);
@@ -275,7 +275,7 @@
     LOG(INFO) << "stopping: accepts no new work";
     Stopping = true;
     Traffic.setDraining(true);
-    StopDeadline = presentTime().Steady + ProcessSettings.DrainTimeout;
+    StopDeadline = currentTime().Steady + ProcessSettings.DrainTimeout;
   }
 
   // Waits until all work is drained, then until the shards are released, then
--- a/daemon/side_traffic.cc
+++ b/daemon/side_traffic.cc
@@ -24,8 +24,9 @@
 // Peer identity of a side's messages to itself.
 constexpr const char *SelfPeer = "self";
 
-side::SideMachine::Options machineOptions(const Settings &ProcessSettings) {
-  return side::SideMachine::Options()
+side::SideStateMachine::Options
+machineOptions(const Settings &ProcessSettings) {
+  return side::SideStateMachine::Options()
       .setShareRanks(ProcessSettings.ShareRanks)
       .setBrokeredLoads(ProcessSettings.BrokeredLoads)
       .setEvictByRecency(ProcessSettings.EvictByRecency);
@@ -51,10 +52,10 @@
   void onMessage(const std::string &Peer, wire::Envelope &Message);
   void onLinkMessage(const std::string &Upstream, wire::Envelope &Message);
   void onConfig(std::shared_ptr<const Declarations> Config);
-  void applyShards(const ShardEffects &Effects);
+  void applyShards(const ShardChanges &Effects);
   void perform(side::Actions &Out);
   void perform(side::Reply &Action);
-  void perform(side::TellSide &Action);
+  void perform(side::SendToSide &Action);
   void perform(side::StartRun &Action) { Client.start(Action); }
   void perform(side::CancelRun &Action) { Client.cancel(Action.AttemptId); }
   void perform(side::LoadAdapter &Action) { Client.load(Action); }
@@ -73,7 +74,7 @@
     if (!Machine)
       return;
     side::Actions Out;
-    Apply(*Machine, presentTime(), Out);
+    Apply(*Machine, currentTime(), Out);
     perform(Out);
   }
 
@@ -88,7 +89,7 @@
   Random RandomSource;
   side::UpstreamClient Client;
   wire::RouterSocket Router;
-  std::unique_ptr<side::SideMachine> Machine;
+  std::unique_ptr<side::SideStateMachine> Machine;
   std::shared_ptr<const Declarations> CurrentConfig;
   SideConnectionPool Sides;
   std::deque<wire::Envelope> SelfMessages;
@@ -104,32 +105,32 @@
   side::UpstreamEvents On;
   On.Head = [this](const std::string &Id, unsigned Status,
                    std::string_view Type) {
-    dispatch([&](SideMachine &M, const Now &N, Actions &Out) {
+    dispatch([&](SideMachine &M, const CurrentTime &N, Actions &Out) {
       M.onRunHead(N, Id, Status, Type, Out);
     });
   };
   On.Data = [this](const std::string &Id, std::string_view Bytes) {
-    dispatch([&](SideMachine &M, const Now &N, Actions &Out) {
+    dispatch([&](SideMachine &M, const CurrentTime &N, Actions &Out) {
       M.onRunData(N, Id, Bytes, Out);
     });
   };
   On.Done = [this](const std::string &Id) {
-    dispatch([&](SideMachine &M, const Now &N, Actions &Out) {
+    dispatch([&](SideMachine &M, const CurrentTime &N, Actions &Out) {
       M.onRunDone(N, Id, Out);
     });
   };
   On.Error = [this](const std::string &Id, side::RunError Error) {
-    dispatch([&](SideMachine &M, const Now &N, Actions &Out) {
+    dispatch([&](SideMachine &M, const CurrentTime &N, Actions &Out) {
       M.onRunError(N, Id, Error, Out);
     });
   };
   On.Loaded = [this](size_t Slot, const std::string &Key, bool Loaded) {
-    dispatch([&](SideMachine &M, const Now &N, Actions &Out) {
+    dispatch([&](SideMachine &M, const CurrentTime &N, Actions &Out) {
       M.onLoadDone(N, Slot, Key, Loaded, Out);
     });
   };
   On.Checked = [this](const side::UpstreamStatus &Status) {
-    dispatch([&](SideMachine &M, const Now &N, Actions &Out) {
+    dispatch([&](SideMachine &M, const CurrentTime &N, Actions &Out) {
       M.onUpstreamCheck(N, Status, Out);
     });
   };
@@ -150,10 +151,10 @@
     const std::string Peer = Message.has_permit_grant()
                                  ? ProcessSettings.Upstream
                                  : std::string(SelfPeer);
-    dispatch(
-        [&](side::SideMachine &M, const Now &N, side::Actions &FurtherActions) {
-          M.onEnvelope(N, Peer, Message, FurtherActions);
-        });
+    dispatch([&](side::SideStateMachine &M, const CurrentTime &N,
+                 side::Actions &FurtherActions) {
+      M.onEnvelope(N, Peer, Message, FurtherActions);
+    });
   }
   DeliveringToSelf = false;
 }
@@ -165,7 +166,7 @@
     Router.send(Action.Peer, Action.Message);
 }
 
-void SideTraffic::State::perform(side::TellSide &Action) {
+void SideTraffic::State::perform(side::SendToSide &Action) {
   if (Action.Upstream == ProcessSettings.Upstream)
     SelfMessages.push_back(std::move(Action.Message));
   else if (SideConnection *Side = Sides.find(Action.Upstream))
@@ -199,9 +200,8 @@
     Router.send(Peer, Answer);
     return;
   }
-  dispatch([&](side::SideMachine &M, const Now &N, side::Actions &Out) {
-    M.onEnvelope(N, Peer, Message, Out);
-  });
+  dispatch([&](side::SideStateMachine &M, const CurrentTime &N,
+               side::Actions &Out) { M.onEnvelope(N, Peer, Message, Out); });
 }
 
 void SideTraffic::State::onLinkMessage(const std::string &Upstream,
@@ -210,9 +210,10 @@
       CurrentConfig && Message.generation() > CurrentConfig->generation();
   if (Message.has_config_reply() || Message.has_membership() || Newer)
     passToControl(Upstream, Message, false);
-  dispatch([&](side::SideMachine &M, const Now &N, side::Actions &Out) {
-    M.onEnvelope(N, Upstream, Message, Out);
-  });
+  dispatch(
+      [&](side::SideStateMachine &M, const CurrentTime &N, side::Actions &Out) {
+        M.onEnvelope(N, Upstream, Message, Out);
+      });
 }
 
 void SideTraffic::State::onConfig(std::shared_ptr<const Declarations> Config) {
@@ -221,22 +222,22 @@
     Client.setUpstream(*Self);
   Sides.onConfig(Config);
   if (Machine)
-    return dispatch([&](side::SideMachine &M, const Now &N,
+    return dispatch([&](side::SideStateMachine &M, const CurrentTime &N,
                         side::Actions &Out) { M.onConfig(N, Config, Out); });
-  Machine = std::make_unique<side::SideMachine>(
+  Machine = std::make_unique<side::SideStateMachine>(
       machineOptions(ProcessSettings), Config, ProcessSettings.Upstream, Seed);
   Machine->setDraining(Draining);
 }
 
-void SideTraffic::State::applyShards(const ShardEffects &Effects) {
+void SideTraffic::State::applyShards(const ShardChanges &Effects) {
   if (!Machine)
     return;
   if (Effects.EndLease)
     Machine->endLease();
   for (uint32_t Shard : Effects.Drop)
     Machine->dropShard(Shard);
-  const Now N = presentTime();
-  for (const ShardEffects::Taken &T : Effects.Take)
+  const CurrentTime N = currentTime();
+  for (const ShardChanges::Taken &T : Effects.Take)
     Machine->takeShard(N, T.Shard, T.FencingNumber);
   if (Effects.LeaseUntil)
     Machine->extendLease(*Effects.LeaseUntil);
@@ -257,9 +258,8 @@
 
 void SideTraffic::State::tick() {
   Sides.flush();
-  dispatch([](side::SideMachine &M, const Now &N, side::Actions &Out) {
-    M.onTimer(N, Out);
-  });
+  dispatch([](side::SideStateMachine &M, const CurrentTime &N,
+              side::Actions &Out) { M.onTimer(N, Out); });
   updateSummary();
   TickTimer.expires_after(TickInterval);
   TickTimer.async_wait([this](boost::system::error_code Error) {
@@ -302,7 +302,7 @@
   boost::asio::post(Impl->Io, [this, Config] { Impl->onConfig(Config); });
 }
 
-void SideTraffic::applyShards(ShardEffects Effects) {
+void SideTraffic::applyShards(ShardChanges Effects) {
   boost::asio::post(Impl->Io, [this, Effects = std::move(Effects)] {
     Impl->applyShards(Effects);
   });
--- a/daemon/side_traffic.h
+++ b/daemon/side_traffic.h
@@ -59,7 +59,7 @@
   void run();
   void stop();
   void publish(std::shared_ptr<const Declarations> Config);
-  void applyShards(ShardEffects Effects);
+  void applyShards(ShardChanges Effects);
   void setDraining(bool On);
   /// Sends to another side by upstream name or "ip:port".
   void send(std::string Peer, wire::Envelope Message);
--- a/daemon/store_follower.cc
+++ b/daemon/store_follower.cc
@@ -24,14 +24,14 @@
 constexpr Duration ReleaseRenewalInterval = std::chrono::milliseconds(1000);
 } // namespace
 
-StoreFollower::StoreFollower(boost::asio::io_context &InIo,
-                             const http::Endpoint &Address, uint64_t Seed,
-                             OnChanged InNotifyChanged, OnLog InLog)
+StoreWatcher::StoreWatcher(boost::asio::io_context &InIo,
+                           const http::Endpoint &Address, uint64_t Seed,
+                           OnChanged InNotifyChanged, OnLog InLog)
     : Io(InIo), Store(InIo, Address, platform::StoreClient::Options(), Seed),
       AbsenceTimer(InIo), NotifyChanged(std::move(InNotifyChanged)),
       Log(std::move(InLog)) {}
 
-void StoreFollower::start() {
+void StoreWatcher::start() {
   using platform::StoreObject;
   Store.onContact(
       [this](bool Reached, std::string_view Why) { onContact(Reached, Why); });
@@ -56,7 +56,7 @@
     onUpstream(Object);
   };
   Upstreams.OnRegained = [this] {
-    KnownCatalog.onStoreRegained(presentTime().Steady);
+    KnownCatalog.onStoreReconnected(currentTime().Steady);
   };
   Upstreams.Gather = UpstreamWatchPause;
   Store.follow(platform::kinds::Upstreams, std::move(Upstreams));
@@ -72,15 +72,15 @@
   Store.follow(platform::kinds::Releases, std::move(Releases));
 }
 
-void StoreFollower::setEntryCount(size_t Count) {
+void StoreWatcher::setEntryCount(size_t Count) {
   const auto Factor = static_cast<int64_t>(Count);
   Store.setWatchTime(platform::kinds::Config, ConfigRenewalInterval * Factor);
   Store.setWatchTime(platform::kinds::Releases,
                      ReleaseRenewalInterval * Factor);
 }
 
-void StoreFollower::logList(std::string_view Kind, uint64_t Revision,
-                            const std::vector<platform::StoreObject> &List) {
+void StoreWatcher::logList(std::string_view Kind, uint64_t Revision,
+                           const std::vector<platform::StoreObject> &List) {
   uint64_t Newest = 0;
   for (const platform::StoreObject &Object : List)
     Newest = std::max(Newest, Object.Revision);
@@ -89,7 +89,7 @@
       " newest=" + std::to_string(Newest));
 }
 
-void StoreFollower::onConfigObject(const platform::StoreObject &Object) {
+void StoreWatcher::onConfigObject(const platform::StoreObject &Object) {
   if (Object.Removed || Object.Content.empty())
     return;
   try {
@@ -108,24 +108,24 @@
   }
 }
 
-void StoreFollower::onUpstreams(
-    uint64_t Revision, const std::vector<platform::StoreObject> &List) {
+void StoreWatcher::onUpstreams(uint64_t Revision,
+                               const std::vector<platform::StoreObject> &List) {
   std::map<std::string, UpstreamRecord> Records;
   for (const platform::StoreObject &Object : List)
     if (auto Record = platform::decodeUpstream(Object.Name, Object.Content))
       Records[Object.Name] = std::move(*Record);
   Log("upstreams listed=" + std::to_string(List.size()) + " usable=" +
       std::to_string(Records.size()) + " revision=" + std::to_string(Revision));
-  KnownCatalog.applyUpstreams(presentTime().Steady, Revision, Records);
+  KnownCatalog.applyUpstreams(currentTime().Steady, Revision, Records);
   scheduleNotification();
   scheduleAbsenceCheck();
 }
 
-void StoreFollower::onUpstream(const platform::StoreObject &Object) {
+void StoreWatcher::onUpstream(const platform::StoreObject &Object) {
   std::optional<UpstreamRecord> Record;
   if (!Object.Removed)
     Record = platform::decodeUpstream(Object.Name, Object.Content);
-  if (!KnownCatalog.applyUpstream(presentTime().Steady, Object.Revision,
+  if (!KnownCatalog.applyUpstream(currentTime().Steady, Object.Revision,
                                   Object.Name, Record ? &*Record : nullptr))
     return;
   Log("upstream id=" + Object.Name + " state=" +
@@ -136,7 +136,7 @@
   scheduleAbsenceCheck();
 }
 
-void StoreFollower::onRelease(const platform::StoreObject &Object) {
+void StoreWatcher::onRelease(const platform::StoreObject &Object) {
   if (Object.Removed)
     return;
   auto Record = platform::decodeRelease(Object.Content);
@@ -153,8 +153,8 @@
   scheduleNotification();
 }
 
-void StoreFollower::onCatalogUpdate(const BeliefUpdate &Update) {
-  bool Applied = KnownCatalog.applyBeliefs(presentTime().Steady, Update);
+void StoreWatcher::onCatalogUpdate(const CatalogUpdate &Update) {
+  bool Applied = KnownCatalog.applyUpdate(currentTime().Steady, Update);
   if (!Update.ConfigText.empty()) {
     platform::StoreObject Object;
     Object.Name = "peer";
@@ -170,13 +170,13 @@
   scheduleNotification();
 }
 
-void StoreFollower::onContact(bool Reached, std::string_view Why) {
+void StoreWatcher::onContact(bool Reached, std::string_view Why) {
   InContact = Reached;
   Log(std::string("store state=") + (Reached ? "regained" : "lost") +
       " why=\"" + std::string(Why) + "\"");
 }
 
-void StoreFollower::scheduleNotification() {
+void StoreWatcher::scheduleNotification() {
   if (NotificationPending)
     return;
   NotificationPending = true;
@@ -186,14 +186,14 @@
   });
 }
 
-void StoreFollower::scheduleAbsenceCheck() {
+void StoreWatcher::scheduleAbsenceCheck() {
   AbsenceTimer.expires_after(AbsenceCheckInterval);
   AbsenceTimer.async_wait([this](boost::system::error_code Error) {
     if (Error)
       return;
-    if (KnownCatalog.onTimer(presentTime().Steady))
+    if (KnownCatalog.onTimer(currentTime().Steady))
       scheduleNotification();
-    if (KnownCatalog.hasAbsent())
+    if (KnownCatalog.hasDeferredRemovals())
       scheduleAbsenceCheck();
   });
 }
--- a/daemon/store_follower.h
+++ b/daemon/store_follower.h
@@ -18,18 +18,18 @@
 namespace goldcrestlink {
 
 /// Not thread-safe.
-class StoreFollower {
+class StoreWatcher {
 public:
   /// Called after the catalog has changed.
   using OnChanged = std::function<void()>;
   using OnLog = std::function<void(std::string)>;
 
-  StoreFollower(boost::asio::io_context &Io, const http::Endpoint &Store,
-                uint64_t Seed, OnChanged NotifyChanged, OnLog Log);
+  StoreWatcher(boost::asio::io_context &Io, const http::Endpoint &Store,
+               uint64_t Seed, OnChanged NotifyChanged, OnLog Log);
   /// Starts reading the store, for as long as the object exists.
   void start();
   /// Applies newer catalog state received from another process.
-  void onCatalogUpdate(const BeliefUpdate &Update);
+  void onCatalogUpdate(const CatalogUpdate &Update);
   /// Number of entries that exchange catalog state, this one included. Each
   /// renews its watches at intervals proportional to it, so that the total rate
   /// of renewals does not grow with the number of entries.
--- a/delivery/key_ledger.cc
+++ b/delivery/key_ledger.cc
@@ -50,7 +50,7 @@
   LeaseUntil = std::max(LeaseUntil, Until);
 }
 
-int64_t KeyLedger::monotonicWallMs(const Now &Now) {
+int64_t KeyLedger::monotonicWallMs(const CurrentTime &Now) {
   LatestWallMs = std::max(LatestWallMs, unixMillis(Now.Wall));
   return LatestWallMs;
 }
@@ -72,12 +72,12 @@
   return {KeyVerdict::Replay, Code::None, Outcome::Ran, &Entry.Answer};
 }
 
-KeyDecision KeyLedger::claim(const Now &Now, const KeyedCall &Call) {
+KeyDecision KeyLedger::claim(const CurrentTime &Now, const KeyedCall &Call) {
   const auto Owner = Owned.find(shardOf(Call.Key));
   if (Owner == Owned.end())
     return refuse(Code::NotOwner, Outcome::None);
   if (!leaseValid(Now.Steady))
-    return refuse(Code::LeaseLapsed, Outcome::None);
+    return refuse(Code::LeaseExpired, Outcome::None);
   const auto It = Keys.find(Call.Key);
   if (It != Keys.end())
     return decideKnownKey(It->second, Call);
@@ -95,7 +95,8 @@
   return {KeyVerdict::Run, Code::None, Outcome::None, nullptr};
 }
 
-bool KeyLedger::mayDispatch(const Now &Now, const std::string &Key) const {
+bool KeyLedger::mayDispatch(const CurrentTime &Now,
+                            const std::string &Key) const {
   const auto It = Keys.find(Key);
   return leaseValid(Now.Steady) && owns(Key) && It != Keys.end() &&
          It->second.Status == State::Claimed;
@@ -119,7 +120,7 @@
     It->second.Status = State::Lost;
 }
 
-void KeyLedger::release(const Now &Now, const std::string &Key) {
+void KeyLedger::release(const CurrentTime &Now, const std::string &Key) {
   const auto It = Keys.find(Key);
   if (It == Keys.end() || It->second.Status != State::Claimed)
     return;
@@ -127,7 +128,7 @@
   It->second.RefusedMs = monotonicWallMs(Now);
 }
 
-void KeyLedger::expire(const Now &Now) {
+void KeyLedger::expire(const CurrentTime &Now) {
   const int64_t ExpireBeforeMs = monotonicWallMs(Now) -
                                  millis(Limits.retention()) -
                                  2 * millis(Limits.clockSkew());
--- a/delivery/key_ledger.h
+++ b/delivery/key_ledger.h
@@ -122,10 +122,10 @@
 
   /// Decides whether a call may run. After Run the key is claimed and must be
   /// ended with finish(), markLost() or release().
-  KeyDecision claim(const Now &Now, const KeyedCall &Call);
+  KeyDecision claim(const CurrentTime &Now, const KeyedCall &Call);
   /// True if the call of a claimed key may still be sent to the service. To be
   /// checked immediately before sending, because the lease may have expired.
-  bool mayDispatch(const Now &Now, const std::string &Key) const;
+  bool mayDispatch(const CurrentTime &Now, const std::string &Key) const;
   /// Records the answer of a call that ran.
   void finish(const std::string &Key, KeptAnswer Answer);
   /// Records that the call may have run but its answer is lost. Later claims
@@ -135,9 +135,9 @@
   /// of this. Only a submission received after \p Now plus the clock skew may
   /// claim the key again. A delayed message of an earlier submission, which the
   /// caller knows as refused, therefore cannot run.
-  void release(const Now &Now, const std::string &Key);
+  void release(const CurrentTime &Now, const std::string &Key);
   /// Deletes keys whose retention has passed.
-  void expire(const Now &Now);
+  void expire(const CurrentTime &Now);
 
   bool owns(std::string_view Key) const { return Owned.count(shardOf(Key)); }
   bool ownsShard(uint32_t Shard) const { return Owned.count(Shard); }
@@ -163,7 +163,7 @@
     uint64_t FencingNumber = 0;
   };
   KeyDecision decideKnownKey(Record &Entry, const KeyedCall &Call) const;
-  int64_t monotonicWallMs(const Now &Now);
+  int64_t monotonicWallMs(const CurrentTime &Now);
 
   Options Limits;
   Time LeaseUntil{};
--- a/delivery/testing/key_ledger_test.cc
+++ b/delivery/testing/key_ledger_test.cc
@@ -15,7 +15,7 @@
 constexpr int64_t MicrosPerMilli = 1000;
 constexpr int64_t StartMs = 1000000;
 
-Now at(int64_t Ms) {
+CurrentTime at(int64_t Ms) {
   return {Time(Duration(Ms * MicrosPerMilli)),
           WallTime(Duration((StartMs + Ms) * MicrosPerMilli))};
 }
@@ -54,7 +54,7 @@
      Outcome::None},
     {"older than the retention", 200, 5200, KeyVerdict::Refuse,
      Code::KeyExpired, Outcome::Unknown},
-    {"lease expired", 7990, 8000, KeyVerdict::Refuse, Code::LeaseLapsed,
+    {"lease expired", 7990, 8000, KeyVerdict::Refuse, Code::LeaseExpired,
      Outcome::None},
 };
 
@@ -147,7 +147,7 @@
   std::vector<std::pair<int64_t, std::string>> Leaving;
   for (int64_t NowMs = 30; NowMs < 4000; ++NowMs) {
     const auto Local = [&](size_t I) {
-      return Now{at(NowMs).Steady, at(NowMs + WallOffsetMs[I]).Wall};
+      return CurrentTime{at(NowMs).Steady, at(NowMs + WallOffsetMs[I]).Wall};
     };
     // The owner renews at random times. Long gaps stand for a paused process.
     if (R.below(60) == 0 && NowMs < LeaseEndMs) {
@@ -167,7 +167,7 @@
     if (!IssuedMsByKey.count(Key))
       IssuedMsByKey[Key] = NowMs + static_cast<int64_t>(R.below(10));
     const size_t Claimant = R.below(OwnerCount);
-    const Now Now = Local(Claimant);
+    const CurrentTime Now = Local(Claimant);
     if (Disabled == Mutation::IgnoreLease)
       Ledgers[Claimant].extendLease(Time::max());
     const auto D = Ledgers[Claimant].claim(
--- a/entry/actions.h
+++ b/entry/actions.h
@@ -44,7 +44,7 @@
 /// Send a message to the side beside \c Upstream. If an attempt could not be
 /// passed to a connection, the I/O layer calls onSendFailed with the attempt
 /// id.
-struct SendSide {
+struct SendToSide {
   std::string Upstream;
   wire::Envelope Message;
 };
@@ -73,7 +73,7 @@
 };
 
 /// Send a complete answer that is not streamed.
-struct DeliverWhole {
+struct DeliverFullAnswer {
   std::string RequestId;
   unsigned Status = 200;
   std::string ContentType;
@@ -108,9 +108,9 @@
   uint32_t Attempts = 0;
 };
 
-using Action = std::variant<SendSide, ResetConnection, DeliverHead, DeliverData,
-                            DeliverEnd, DeliverWhole, DeliverError, LogDecision,
-                            RequestRecord>;
+using Action = std::variant<SendToSide, ResetConnection, DeliverHead,
+                            DeliverData, DeliverEnd, DeliverFullAnswer,
+                            DeliverError, LogDecision, RequestRecord>;
 using Actions = std::vector<Action>;
 
 } // namespace goldcrestlink::entry
--- a/entry/entry_answers.cc
+++ b/entry/entry_answers.cc
@@ -18,14 +18,14 @@
 // Refusals after which an attempt at another side, or at the same side later,
 // may succeed.
 constexpr std::array RetryableCodes = {
-    Code::Overloaded,   Code::DeadlineUnreachable, Code::Leaving,
+    Code::Overloaded,   Code::DeadlineUnreachable, Code::Draining,
     Code::UpstreamDown, Code::LoadFailed,          Code::NeverArrived,
     Code::Interrupted,  Code::WrongUpstream,       Code::NoUpstream,
     Code::Cancelled,    Code::UpstreamCrashed,     Code::StaleFencing};
 // Failures that are expected to end soon, so that the request is retried after
 // a backoff while time is left.
 constexpr std::array TransientCodes = {
-    Code::Leaving,        Code::UpstreamDown, Code::NoUpstream,
+    Code::Draining,       Code::UpstreamDown, Code::NoUpstream,
     Code::Interrupted,    Code::NeverArrived, Code::WrongUpstream,
     Code::UpstreamCrashed};
 constexpr uint32_t MaxDeadlineUnreachableAttempts = 2;
@@ -37,11 +37,13 @@
 
 } // namespace
 
-void EntryMachine::onEnvelope(const Now &Now, const std::string &Upstream,
-                              const wire::Envelope &Message, Actions &Out) {
+void EntryStateMachine::onEnvelope(const CurrentTime &Now,
+                                   const std::string &Upstream,
+                                   const wire::Envelope &Message,
+                                   Actions &Out) {
   if (!Config->upstream(Upstream) && !Views.count(Upstream))
     return;
-  Views[Upstream].heard(Now.Steady);
+  Views[Upstream].onMessage(Now.Steady);
   if (Message.has_event())
     return onEvent(Now, Upstream, Message.event(), Out);
   if (Message.has_probe_reply())
@@ -50,17 +52,18 @@
 
 // A side that sent events of this attempt and now reports that the attempt
 // never arrived has restarted and lost it.
-bool EntryMachine::isLost(const Attempt &Sent,
-                          const wire::AttemptEvent &Event) {
+bool EntryStateMachine::isLost(const Attempt &Sent,
+                               const wire::AttemptEvent &Event) {
   return Event.kind() == wire::AttemptEvent::REFUSED && Sent.NextSequence > 0 &&
          Event.sequence() == 0 &&
          codeFromName(Event.code()) == Code::NeverArrived;
 }
 
-void EntryMachine::onEvent(const Now &Now, const std::string &Upstream,
-                           const wire::AttemptEvent &Event, Actions &Out) {
+void EntryStateMachine::onEvent(const CurrentTime &Now,
+                                const std::string &Upstream,
+                                const wire::AttemptEvent &Event, Actions &Out) {
   if (Event.has_state())
-    Views[Upstream].learn(Now.Steady, Event.state());
+    Views[Upstream].updateState(Now.Steady, Event.state());
   const auto It = Attempts.find(Event.attempt_id());
   if (It == Attempts.end() || It->second.Upstream != Upstream)
     return;
@@ -76,10 +79,10 @@
   if (Event.sequence() < OpenAttempt.NextSequence)
     return;
   if (Event.sequence() > OpenAttempt.NextSequence) {
-    SendSide Send{Upstream, envelope()};
+    SendToSide Send{Upstream, envelope()};
     Send.Message.mutable_resume()->set_attempt_id(Event.attempt_id());
     Send.Message.mutable_resume()->set_next_sequence(OpenAttempt.NextSequence);
-    Views[Upstream].asked(Now.Steady);
+    Views[Upstream].onRequestSent(Now.Steady);
     Out.emplace_back(std::move(Send));
     return;
   }
@@ -109,8 +112,8 @@
   }
 }
 
-void EntryMachine::onDone(const Now &Now, ActiveRequest &Active,
-                          const wire::AttemptEvent &Event, Actions &Out) {
+void EntryStateMachine::onDone(const CurrentTime &Now, ActiveRequest &Active,
+                               const wire::AttemptEvent &Event, Actions &Out) {
   const std::string Id = Active.Request.Id;
   if (Active.FirstByte == Time{})
     Active.FirstByte = Now.Steady;
@@ -120,13 +123,13 @@
       Out.emplace_back(DeliverData{Id, Event.data()});
     Out.emplace_back(DeliverEnd{Id});
   } else {
-    Out.emplace_back(
-        DeliverWhole{Id, Event.status(), Event.content_type(), Event.data()});
+    Out.emplace_back(DeliverFullAnswer{Id, Event.status(), Event.content_type(),
+                                       Event.data()});
   }
   finish(Now, Id, Code::None, Outcome::Ran, Out);
 }
 
-void EntryMachine::deliverHead(ActiveRequest &Active, Actions &Out) {
+void EntryStateMachine::deliverHead(ActiveRequest &Active, Actions &Out) {
   if (Active.HeadDelivered)
     return;
   Active.HeadDelivered = true;
@@ -134,7 +137,7 @@
                                Active.HeadContentType});
 }
 
-void EntryMachine::closeAttempt(const std::string &AttemptId) {
+void EntryStateMachine::closeAttempt(const std::string &AttemptId) {
   const auto It = Attempts.find(AttemptId);
   assert(It != Attempts.end());
   OpenAttemptsBySide[It->second.Upstream].erase(AttemptId);
@@ -143,19 +146,20 @@
 }
 
 // Cancels and closes the open attempt. The side may run it nevertheless.
-void EntryMachine::abandonAttempt(ActiveRequest &Active, Actions &Out) {
+void EntryStateMachine::abandonAttempt(ActiveRequest &Active, Actions &Out) {
   if (Active.OpenAttempt.empty())
     return;
-  SendSide Send{Attempts.at(Active.OpenAttempt).Upstream, envelope()};
+  SendToSide Send{Attempts.at(Active.OpenAttempt).Upstream, envelope()};
   Send.Message.mutable_cancel()->set_attempt_id(Active.OpenAttempt);
   Out.emplace_back(std::move(Send));
   closeAttempt(Active.OpenAttempt);
   Active.MayHaveRun = true;
 }
 
-void EntryMachine::onRefused(const Now &Now, ActiveRequest &Active,
-                             const Attempt &Refused,
-                             const wire::AttemptEvent &Event, Actions &Out) {
+void EntryStateMachine::onRefused(const CurrentTime &Now, ActiveRequest &Active,
+                                  const Attempt &Refused,
+                                  const wire::AttemptEvent &Event,
+                                  Actions &Out) {
   const Code Why = codeFromName(Event.code());
   closeAttempt(Event.attempt_id());
   Active.LastFailure = Why;
@@ -175,7 +179,7 @@
     return route(Now, Active.Request.Id, Out);
   }
   if (!Active.Idempotent &&
-      (Why == Code::NotOwner || Why == Code::LeaseLapsed)) {
+      (Why == Code::NotOwner || Why == Code::LeaseExpired)) {
     Active.OwnerHint = Event.owner_hint();
     const bool OwnerElsewhere =
         !Active.OwnerHint.empty() && Active.OwnerHint != Refused.Upstream;
@@ -197,8 +201,9 @@
   retryOrFail(Now, Active, Out);
 }
 
-void EntryMachine::onFailed(const Now &Now, ActiveRequest &Active,
-                            const wire::AttemptEvent &Event, Actions &Out) {
+void EntryStateMachine::onFailed(const CurrentTime &Now, ActiveRequest &Active,
+                                 const wire::AttemptEvent &Event,
+                                 Actions &Out) {
   const std::string Upstream = Attempts.at(Event.attempt_id()).Upstream;
   const Code Why = codeFromName(Event.code());
   closeAttempt(Event.attempt_id());
@@ -220,8 +225,8 @@
   retryOrFail(Now, Active, Out);
 }
 
-void EntryMachine::retryOrFail(const Now &Now, ActiveRequest &Active,
-                               Actions &Out) {
+void EntryStateMachine::retryOrFail(const CurrentTime &Now,
+                                    ActiveRequest &Active, Actions &Out) {
   const bool HasCandidate = !candidateUpstreams(Now, Active).empty();
   if (!HasCandidate) {
     if (contains(TransientCodes, Active.LastFailure) &&
@@ -235,8 +240,9 @@
   route(Now, Active.Request.Id, Out);
 }
 
-void EntryMachine::onSendFailed(const Now &Now, const std::string &AttemptId,
-                                Actions &Out) {
+void EntryStateMachine::onSendFailed(const CurrentTime &Now,
+                                     const std::string &AttemptId,
+                                     Actions &Out) {
   const auto It = Attempts.find(AttemptId);
   if (It == Attempts.end())
     return;
@@ -251,13 +257,14 @@
   retryOrFail(Now, Active, Out);
 }
 
-void EntryMachine::checkSilentSides(const Now &Now, Actions &Out) {
+void EntryStateMachine::checkSilentSides(const CurrentTime &Now, Actions &Out) {
   std::vector<std::pair<std::string, SideView::Verdict>> Verdicts;
   for (auto &[Name, View] : Views) {
     const auto Open = OpenAttemptsBySide.find(Name);
     const size_t Outstanding =
         Open == OpenAttemptsBySide.end() ? 0 : Open->second.size();
-    const auto Verdict = View.judge(Now.Steady, Opts.sideView(), Outstanding);
+    const auto Verdict =
+        View.checkLiveness(Now.Steady, Opts.sideView(), Outstanding);
     if (Verdict != SideView::Verdict::Fine)
       Verdicts.emplace_back(Name, Verdict);
   }
@@ -277,14 +284,15 @@
   }
 }
 
-void EntryMachine::probeAndResume(const Now &Now, const std::string &Upstream,
-                                  Actions &Out) {
-  Views[Upstream].asked(Now.Steady);
-  SendSide Probe{Upstream, envelope()};
+void EntryStateMachine::probeAndResume(const CurrentTime &Now,
+                                       const std::string &Upstream,
+                                       Actions &Out) {
+  Views[Upstream].onRequestSent(Now.Steady);
+  SendToSide Probe{Upstream, envelope()};
   Probe.Message.mutable_probe()->set_probe_id(nextId());
   Out.emplace_back(std::move(Probe));
   for (const std::string &Id : OpenAttemptsBySide[Upstream]) {
-    SendSide Send{Upstream, envelope()};
+    SendToSide Send{Upstream, envelope()};
     Send.Message.mutable_resume()->set_attempt_id(Id);
     Send.Message.mutable_resume()->set_next_sequence(
         Attempts.at(Id).NextSequence);
@@ -295,8 +303,8 @@
 // Handles an unreachable side: idempotent requests whose answer has not begun
 // are sent to another side. The other attempts stay open in case the side
 // becomes reachable again.
-void EntryMachine::failOver(const Now &Now, const std::string &Upstream,
-                            Actions &Out) {
+void EntryStateMachine::failOver(const CurrentTime &Now,
+                                 const std::string &Upstream, Actions &Out) {
   const std::set<std::string> Open = OpenAttemptsBySide[Upstream];
   for (const std::string &Id : Open) {
     const auto It = Attempts.find(Id);
--- a/entry/entry_machine.cc
+++ b/entry/entry_machine.cc
@@ -21,13 +21,14 @@
 constexpr Duration RefusalRetryAfter = std::chrono::seconds(1);
 } // namespace
 
-EntryMachine::EntryMachine(Options Opts,
-                           std::shared_ptr<const Declarations> Config,
-                           std::string Cell, uint64_t Seed)
+EntryStateMachine::EntryStateMachine(Options Opts,
+                                     std::shared_ptr<const Declarations> Config,
+                                     std::string Cell, uint64_t Seed)
     : Opts(Opts), Config(std::move(Config)), Cell(std::move(Cell)), Seed(Seed),
       Rand(Seed), Budget(RetriesPerRequest, MaxSavedRetries) {}
 
-void EntryMachine::onConfig(std::shared_ptr<const Declarations> NewConfig) {
+void EntryStateMachine::onConfig(
+    std::shared_ptr<const Declarations> NewConfig) {
   assert(NewConfig->generation() >= Config->generation());
   Config = std::move(NewConfig);
   std::erase_if(Views, [&](const auto &Item) {
@@ -38,7 +39,7 @@
   });
 }
 
-std::string EntryMachine::nextId() {
+std::string EntryStateMachine::nextId() {
   char Text[40];
   std::snprintf(Text, sizeof(Text), "%016llx-%llx",
                 static_cast<unsigned long long>(Seed),
@@ -46,14 +47,14 @@
   return Text;
 }
 
-wire::Envelope EntryMachine::envelope() const {
+wire::Envelope EntryStateMachine::envelope() const {
   wire::Envelope E;
   E.set_generation(Config->generation());
   return E;
 }
 
-Code EntryMachine::classifyCompletion(ActiveRequest &Active,
-                                      std::string &RankName) const {
+Code EntryStateMachine::classifyCompletion(ActiveRequest &Active,
+                                           std::string &RankName) const {
   const AdapterDecl *Adapter = Config->adapter(Active.Request.Adapter);
   if (!Adapter)
     return Code::UnknownAdapter;
@@ -70,8 +71,8 @@
   return Code::None;
 }
 
-Code EntryMachine::classifyRoute(ActiveRequest &Active,
-                                 std::string &RankName) const {
+Code EntryStateMachine::classifyRoute(ActiveRequest &Active,
+                                      std::string &RankName) const {
   const RouteDecl *Route = Config->route(Active.Request.Path);
   if (!Route)
     return Code::UnknownRoute;
@@ -83,7 +84,7 @@
   return Code::None;
 }
 
-Code EntryMachine::classify(ActiveRequest &Active) const {
+Code EntryStateMachine::classify(ActiveRequest &Active) const {
   if (Config->ranks().empty())
     return Code::NotConfigured;
   std::string RankName = Active.Request.Rank;
@@ -112,8 +113,8 @@
   return Code::None;
 }
 
-void EntryMachine::onRequest(const Now &Now, CallerRequest Request,
-                             Actions &Out) {
+void EntryStateMachine::onRequest(const CurrentTime &Now, CallerRequest Request,
+                                  Actions &Out) {
   const std::string Id = Request.Id;
   assert(!Requests.count(Id));
   Budget.onRequest();
@@ -148,8 +149,9 @@
   route(Now, Id, Out);
 }
 
-void EntryMachine::onCallerGone(const Now &Now, const std::string &RequestId,
-                                Actions &Out) {
+void EntryStateMachine::onCallerGone(const CurrentTime &Now,
+                                     const std::string &RequestId,
+                                     Actions &Out) {
   const auto It = Requests.find(RequestId);
   if (It == Requests.end())
     return;
@@ -158,7 +160,7 @@
   finish(Now, RequestId, Code::Cancelled, outcomeOf(It->second), Out);
 }
 
-Outcome EntryMachine::outcomeOf(const ActiveRequest &Active) const {
+Outcome EntryStateMachine::outcomeOf(const ActiveRequest &Active) const {
   if (Active.Ran)
     return Outcome::Ran;
   if (Opts.countOpenAttempts() &&
@@ -171,13 +173,13 @@
   return Outcome::NotRun;
 }
 
-void EntryMachine::fail(const Now &Now, const std::string &Id, Code Why,
-                        Actions &Out) {
+void EntryStateMachine::fail(const CurrentTime &Now, const std::string &Id,
+                             Code Why, Actions &Out) {
   finish(Now, Id, Why, outcomeOf(Requests.at(Id)), Out);
 }
 
-void EntryMachine::finish(const Now &Now, const std::string &Id, Code Why,
-                          Outcome Known, Actions &Out) {
+void EntryStateMachine::finish(const CurrentTime &Now, const std::string &Id,
+                               Code Why, Outcome Known, Actions &Out) {
   const auto It = Requests.find(Id);
   assert(It != Requests.end());
   ActiveRequest &Active = It->second;
@@ -210,15 +212,15 @@
   Requests.erase(It);
 }
 
-void EntryMachine::onMembership(const std::set<std::string> &Draining,
-                                const std::set<std::string> &Gone) {
+void EntryStateMachine::onMembership(const std::set<std::string> &Draining,
+                                     const std::set<std::string> &Gone) {
   ListedDraining = Draining;
   ListedGone = Gone;
   for (auto &[Name, View] : Views)
     View.setListed(Draining.count(Name) > 0, Gone.count(Name) > 0);
 }
 
-void EntryMachine::onTimer(const Now &Now, Actions &Out) {
+void EntryStateMachine::onTimer(const CurrentTime &Now, Actions &Out) {
   std::vector<std::string> Expired;
   std::vector<std::string> RetryDue;
   for (const auto &[Id, Active] : Requests) {
--- a/entry/entry_machine.h
+++ b/entry/entry_machine.h
@@ -29,7 +29,7 @@
 namespace goldcrestlink::entry {
 
 /// Not thread-safe: all calls on one thread.
-class EntryMachine {
+class EntryStateMachine {
 public:
   class Options {
   public:
@@ -81,8 +81,8 @@
 
   /// \p Cell is the cell whose upstreams this entry prefers. \p Seed makes ids
   /// unique across incarnations and seeds the random choices.
-  EntryMachine(Options Opts, std::shared_ptr<const Declarations> Config,
-               std::string Cell, uint64_t Seed);
+  EntryStateMachine(Options Opts, std::shared_ptr<const Declarations> Config,
+                    std::string Cell, uint64_t Seed);
 
   // Commands.
 
@@ -91,22 +91,24 @@
   void onConfig(std::shared_ptr<const Declarations> Config);
   /// Accepts or refuses a caller's request. Every request ends exactly once.
   /// Precondition: no request in progress has the same id.
-  void onRequest(const Now &Now, CallerRequest Request, Actions &Out);
+  void onRequest(const CurrentTime &Now, CallerRequest Request, Actions &Out);
   /// The caller disconnected. Ends the request; its open attempt is cancelled
   /// if it is idempotent.
-  void onCallerGone(const Now &Now, const std::string &RequestId, Actions &Out);
+  void onCallerGone(const CurrentTime &Now, const std::string &RequestId,
+                    Actions &Out);
   /// Handles a message from the side beside \p Upstream.
-  void onEnvelope(const Now &Now, const std::string &Upstream,
+  void onEnvelope(const CurrentTime &Now, const std::string &Upstream,
                   const wire::Envelope &Message, Actions &Out);
   /// The attempt could not be passed to a connection and was not sent.
-  void onSendFailed(const Now &Now, const std::string &AttemptId, Actions &Out);
+  void onSendFailed(const CurrentTime &Now, const std::string &AttemptId,
+                    Actions &Out);
   /// Replaces the sets of upstreams that the platform lists as draining or as
   /// removed.
   void onMembership(const std::set<std::string> &Draining,
                     const std::set<std::string> &Gone);
   /// Ends requests at their deadline, performs due retries and checks for
   /// silent sides. To be called every few milliseconds.
-  void onTimer(const Now &Now, Actions &Out);
+  void onTimer(const CurrentTime &Now, Actions &Out);
 
   // Queries.
 
@@ -114,10 +116,10 @@
   uint64_t generation() const { return Config->generation(); }
   /// Describes the candidates for a request for this adapter version, one per
   /// line.
-  std::string explain(const Now &Now, std::string_view Adapter,
+  std::string explain(const CurrentTime &Now, std::string_view Adapter,
                       std::string_view Version) const;
   /// Upstreams of the entry's cell that new requests may be sent to.
-  std::vector<std::string> availableUpstreams(const Now &Now) const;
+  std::vector<std::string> availableUpstreams(const CurrentTime &Now) const;
 
 private:
   // One attempt to run a request, at one side.
@@ -189,52 +191,59 @@
   Code classifyRoute(ActiveRequest &Active, std::string &RankName) const;
 
   // Choice of a side.
-  void route(const Now &Now, const std::string &Id, Actions &Out);
-  void routeCompletion(const Now &Now, ActiveRequest &Active, Actions &Out);
-  void routeIsolated(const Now &Now, ActiveRequest &Active, Actions &Out);
-  void routeService(const Now &Now, ActiveRequest &Active, Actions &Out);
-  void routeKeyed(const Now &Now, ActiveRequest &Active, Actions &Out);
+  void route(const CurrentTime &Now, const std::string &Id, Actions &Out);
+  void routeCompletion(const CurrentTime &Now, ActiveRequest &Active,
+                       Actions &Out);
+  void routeIsolated(const CurrentTime &Now, ActiveRequest &Active,
+                     Actions &Out);
+  void routeService(const CurrentTime &Now, ActiveRequest &Active,
+                    Actions &Out);
+  void routeKeyed(const CurrentTime &Now, ActiveRequest &Active, Actions &Out);
   std::vector<const UpstreamDecl *>
-  candidateUpstreams(const Now &Now, const ActiveRequest &Active) const;
+  candidateUpstreams(const CurrentTime &Now, const ActiveRequest &Active) const;
   std::vector<const UpstreamDecl *>
-  usableUpstreams(const Now &Now, const ActiveRequest &Active,
+  usableUpstreams(const CurrentTime &Now, const ActiveRequest &Active,
                   std::string_view InCell) const;
   Candidate makeCandidate(const UpstreamDecl &U, uint64_t SlotHash) const;
-  void startProbes(const Now &Now, ActiveRequest &Active,
+  void startProbes(const CurrentTime &Now, ActiveRequest &Active,
                    const std::vector<const UpstreamDecl *> &Eligible,
                    Actions &Out);
-  void finishProbes(const Now &Now, const std::string &RoundId, Actions &Out);
-  void send(const Now &Now, ActiveRequest &Active, const std::string &Upstream,
-            std::string_view Reason, Actions &Out);
-  void backOff(const Now &Now, ActiveRequest &Active);
+  void finishProbes(const CurrentTime &Now, const std::string &RoundId,
+                    Actions &Out);
+  void send(const CurrentTime &Now, ActiveRequest &Active,
+            const std::string &Upstream, std::string_view Reason, Actions &Out);
+  void backOff(const CurrentTime &Now, ActiveRequest &Active);
 
   // Replies.
-  void onEvent(const Now &Now, const std::string &Upstream,
+  void onEvent(const CurrentTime &Now, const std::string &Upstream,
                const wire::AttemptEvent &Event, Actions &Out);
-  void onProbeReply(const Now &Now, const std::string &Upstream,
+  void onProbeReply(const CurrentTime &Now, const std::string &Upstream,
                     const wire::ProbeReply &Reply, Actions &Out);
-  void onRefused(const Now &Now, ActiveRequest &Active, const Attempt &Refused,
-                 const wire::AttemptEvent &Event, Actions &Out);
-  void onFailed(const Now &Now, ActiveRequest &Active,
+  void onRefused(const CurrentTime &Now, ActiveRequest &Active,
+                 const Attempt &Refused, const wire::AttemptEvent &Event,
+                 Actions &Out);
+  void onFailed(const CurrentTime &Now, ActiveRequest &Active,
                 const wire::AttemptEvent &Event, Actions &Out);
-  void onDone(const Now &Now, ActiveRequest &Active,
+  void onDone(const CurrentTime &Now, ActiveRequest &Active,
               const wire::AttemptEvent &Event, Actions &Out);
-  void retryOrFail(const Now &Now, ActiveRequest &Active, Actions &Out);
+  void retryOrFail(const CurrentTime &Now, ActiveRequest &Active, Actions &Out);
   static bool isLost(const Attempt &Sent, const wire::AttemptEvent &Event);
   void deliverHead(ActiveRequest &Active, Actions &Out);
   void closeAttempt(const std::string &AttemptId);
   void abandonAttempt(ActiveRequest &Active, Actions &Out);
 
   // Silent sides.
-  void checkSilentSides(const Now &Now, Actions &Out);
-  void probeAndResume(const Now &Now, const std::string &Upstream,
+  void checkSilentSides(const CurrentTime &Now, Actions &Out);
+  void probeAndResume(const CurrentTime &Now, const std::string &Upstream,
                       Actions &Out);
-  void failOver(const Now &Now, const std::string &Upstream, Actions &Out);
+  void failOver(const CurrentTime &Now, const std::string &Upstream,
+                Actions &Out);
 
   // Completion.
-  void fail(const Now &Now, const std::string &Id, Code Why, Actions &Out);
-  void finish(const Now &Now, const std::string &Id, Code Why, Outcome Known,
-              Actions &Out);
+  void fail(const CurrentTime &Now, const std::string &Id, Code Why,
+            Actions &Out);
+  void finish(const CurrentTime &Now, const std::string &Id, Code Why,
+              Outcome Known, Actions &Out);
   Outcome outcomeOf(const ActiveRequest &Active) const;
   std::string nextId();
   wire::Envelope envelope() const;
@@ -261,10 +270,10 @@
 /// Switches off one safeguard, so that a test can show that the safeguard is
 /// needed. For tests only.
 struct EntryMutation {
-  static void forgetOpenAttempts(EntryMachine::Options &O) {
+  static void ignoreOpenAttempts(EntryStateMachine::Options &O) {
     O.CountOpenAttempts = false;
   }
-  static void ignoreSilence(EntryMachine::Options &O) {
+  static void ignoreSilence(EntryStateMachine::Options &O) {
     O.HandleSilentSides = false;
   }
 };
--- a/entry/entry_routing.cc
+++ b/entry/entry_routing.cc
@@ -22,7 +22,8 @@
 constexpr size_t MaxTrackedShards = 65536;
 } // namespace
 
-void EntryMachine::route(const Now &Now, const std::string &Id, Actions &Out) {
+void EntryStateMachine::route(const CurrentTime &Now, const std::string &Id,
+                              Actions &Out) {
   ActiveRequest &Active = Requests.at(Id);
   assert(Active.OpenAttempt.empty());
   Active.RetryAt = Time{};
@@ -33,15 +34,15 @@
                          : routeCompletion(Now, Active, Out);
 }
 
-void EntryMachine::backOff(const Now &Now, ActiveRequest &Active) {
+void EntryStateMachine::backOff(const CurrentTime &Now, ActiveRequest &Active) {
   Active.TriedUpstreams.clear();
   Active.RetryAt = Now.Steady + Opts.retryBackoff();
 }
 
-Candidate EntryMachine::makeCandidate(const UpstreamDecl &U,
-                                      uint64_t SlotHash) const {
+Candidate EntryStateMachine::makeCandidate(const UpstreamDecl &U,
+                                           uint64_t SlotHash) const {
   Candidate C;
-  C.Width = static_cast<size_t>(U.MaxSequences);
+  C.MaxSequences = static_cast<size_t>(U.MaxSequences);
   const auto Open = OpenAttemptsBySide.find(U.Name);
   const size_t OwnLoad =
       Open == OpenAttemptsBySide.end() ? 0 : Open->second.size();
@@ -55,8 +56,9 @@
 }
 
 std::vector<const UpstreamDecl *>
-EntryMachine::usableUpstreams(const Now &Now, const ActiveRequest &Active,
-                              std::string_view InCell) const {
+EntryStateMachine::usableUpstreams(const CurrentTime &Now,
+                                   const ActiveRequest &Active,
+                                   std::string_view InCell) const {
   const auto Group = Config->group(Active.Kind, Active.Group, InCell);
   const uint64_t Key = Active.Isolated ? Active.Fingerprint : Active.SlotHash;
   std::vector<const UpstreamDecl *> Out;
@@ -76,16 +78,16 @@
 // it has none. The owner of a key may be in any cell, so requests that are not
 // idempotent consider all cells.
 std::vector<const UpstreamDecl *>
-EntryMachine::candidateUpstreams(const Now &Now,
-                                 const ActiveRequest &Active) const {
+EntryStateMachine::candidateUpstreams(const CurrentTime &Now,
+                                      const ActiveRequest &Active) const {
   if (!Active.Idempotent)
     return usableUpstreams(Now, Active, {});
   auto Own = usableUpstreams(Now, Active, Cell);
   return Own.empty() ? usableUpstreams(Now, Active, {}) : Own;
 }
 
-void EntryMachine::routeCompletion(const Now &Now, ActiveRequest &Active,
-                                   Actions &Out) {
+void EntryStateMachine::routeCompletion(const CurrentTime &Now,
+                                        ActiveRequest &Active, Actions &Out) {
   auto Eligible = candidateUpstreams(Now, Active);
   if (Eligible.empty())
     return retryOrFail(Now, Active, Out);
@@ -97,7 +99,7 @@
   for (const UpstreamDecl *U : Eligible) {
     Candidates.push_back(makeCandidate(*U, Active.SlotHash));
     const Candidate &C = Candidates.back();
-    ResidentWithCapacity |= C.Resident && C.Load < C.Width;
+    ResidentWithCapacity |= C.Resident && C.Load < C.MaxSequences;
   }
   if (Strategy.Probes && !ResidentWithCapacity && Eligible.size() > 1)
     return startProbes(Now, Active, Eligible, Out);
@@ -105,8 +107,8 @@
   // hold the adapter and have free capacity.
   if (Strategy.Probes)
     for (Candidate &C : Candidates)
-      if (!C.Resident || C.Load >= C.Width)
-        C.Wait = std::chrono::seconds(3600);
+      if (!C.Resident || C.Load >= C.MaxSequences)
+        C.ExpectedWait = std::chrono::seconds(3600);
   const size_t Best = Strategy.Choose(Candidates, Rand);
   send(Now, Active, Eligible[Best]->Name,
        Candidates[Best].Resident ? "resident" : Strategy.Name, Out);
@@ -114,16 +116,16 @@
 
 // A suspected request goes to the first side in the rendezvous order of its
 // fingerprint, so that copies of it cannot crash several upstreams at once.
-void EntryMachine::routeIsolated(const Now &Now, ActiveRequest &Active,
-                                 Actions &Out) {
+void EntryStateMachine::routeIsolated(const CurrentTime &Now,
+                                      ActiveRequest &Active, Actions &Out) {
   const auto Eligible = candidateUpstreams(Now, Active);
   if (Eligible.empty())
     return retryOrFail(Now, Active, Out);
   send(Now, Active, Eligible.front()->Name, "isolated", Out);
 }
 
-void EntryMachine::routeService(const Now &Now, ActiveRequest &Active,
-                                Actions &Out) {
+void EntryStateMachine::routeService(const CurrentTime &Now,
+                                     ActiveRequest &Active, Actions &Out) {
   const auto Eligible = candidateUpstreams(Now, Active);
   if (Eligible.empty())
     return retryOrFail(Now, Active, Out);
@@ -135,8 +137,8 @@
   send(Now, Active, Eligible[Best]->Name, "least_loaded", Out);
 }
 
-void EntryMachine::routeKeyed(const Now &Now, ActiveRequest &Active,
-                              Actions &Out) {
+void EntryStateMachine::routeKeyed(const CurrentTime &Now,
+                                   ActiveRequest &Active, Actions &Out) {
   if (Active.AttemptCount >= MaxKeyedAttempts)
     return fail(Now, Active.Request.Id, Active.LastFailure, Out);
   const auto Shards = static_cast<uint32_t>(Config->policy().ShardsPerService);
@@ -162,8 +164,8 @@
        Out);
 }
 
-void EntryMachine::startProbes(
-    const Now &Now, ActiveRequest &Active,
+void EntryStateMachine::startProbes(
+    const CurrentTime &Now, ActiveRequest &Active,
     const std::vector<const UpstreamDecl *> &Eligible, Actions &Out) {
   const std::string RoundId = nextId();
   ProbeRound Round;
@@ -172,22 +174,24 @@
   for (const UpstreamDecl *U : Eligible) {
     Round.Upstreams.push_back(U->Name);
     Round.Candidates.push_back(makeCandidate(*U, Active.SlotHash));
-    SendSide Send{U->Name, envelope()};
+    SendToSide Send{U->Name, envelope()};
     wire::Probe &P = *Send.Message.mutable_probe();
     P.set_probe_id(RoundId);
     P.set_adapter(Active.Request.Adapter);
     P.set_version(Active.Request.Version);
     P.set_rank(Active.Rank.Name);
-    Views[U->Name].asked(Now.Steady);
+    Views[U->Name].onRequestSent(Now.Steady);
     Out.emplace_back(std::move(Send));
   }
   Active.ProbeRoundId = RoundId;
   ProbeRounds.emplace(RoundId, std::move(Round));
 }
 
-void EntryMachine::onProbeReply(const Now &Now, const std::string &Upstream,
-                                const wire::ProbeReply &Reply, Actions &Out) {
-  Views[Upstream].learn(Now.Steady, Reply.state());
+void EntryStateMachine::onProbeReply(const CurrentTime &Now,
+                                     const std::string &Upstream,
+                                     const wire::ProbeReply &Reply,
+                                     Actions &Out) {
+  Views[Upstream].updateState(Now.Steady, Reply.state());
   const auto It = ProbeRounds.find(Reply.probe_id());
   if (It == ProbeRounds.end())
     return;
@@ -201,7 +205,7 @@
     C.Loading = Reply.loading();
     C.Load = std::max<size_t>(C.Load, Reply.state().running() +
                                           Reply.state().waiting());
-    C.Wait = Duration(static_cast<int64_t>(Reply.wait_us()));
+    C.ExpectedWait = Duration(static_cast<int64_t>(Reply.wait_us()));
     C.VictimValue = Reply.victim_value();
     ++Round.ReplyCount;
   }
@@ -209,8 +213,8 @@
     finishProbes(Now, Reply.probe_id(), Out);
 }
 
-void EntryMachine::finishProbes(const Now &Now, const std::string &RoundId,
-                                Actions &Out) {
+void EntryStateMachine::finishProbes(const CurrentTime &Now,
+                                     const std::string &RoundId, Actions &Out) {
   const auto It = ProbeRounds.find(RoundId);
   if (It == ProbeRounds.end())
     return;
@@ -241,21 +245,21 @@
        Out);
 }
 
-void EntryMachine::send(const Now &Now, ActiveRequest &Active,
-                        const std::string &Upstream, std::string_view Reason,
-                        Actions &Out) {
+void EntryStateMachine::send(const CurrentTime &Now, ActiveRequest &Active,
+                             const std::string &Upstream,
+                             std::string_view Reason, Actions &Out) {
   const std::string Id = nextId();
   SideView &View = Views[Upstream];
   View.setListed(ListedDraining.count(Upstream) > 0,
                  ListedGone.count(Upstream) > 0);
-  View.asked(Now.Steady);
+  View.onRequestSent(Now.Steady);
   Active.OpenAttempt = Id;
   Active.HeadStatus = 0;
   ++Active.AttemptCount;
   Attempts[Id] = {Active.Request.Id, Upstream, 0, View.incarnation(), false};
   OpenAttemptsBySide[Upstream].insert(Id);
 
-  SendSide Send{Upstream, envelope()};
+  SendToSide Send{Upstream, envelope()};
   wire::Attempt &WireAttempt = *Send.Message.mutable_attempt();
   const auto MicrosUntil = [&](Time Limit) {
     return static_cast<uint64_t>(
@@ -296,8 +300,9 @@
   Out.emplace_back(std::move(Send));
 }
 
-std::string EntryMachine::explain(const Now &Now, std::string_view Adapter,
-                                  std::string_view Version) const {
+std::string EntryStateMachine::explain(const CurrentTime &Now,
+                                       std::string_view Adapter,
+                                       std::string_view Version) const {
   const AdapterDecl *Decl = Config->adapter(Adapter);
   if (!Decl)
     return "adapter is not declared\n";
@@ -314,13 +319,14 @@
                         View->second.available(Now.Steady, Opts.sideView());
     Out += "candidate " + U->Name + " available " + (Usable ? "yes" : "no") +
            " resident " + (C.Resident ? "yes" : "no") + " load " +
-           std::to_string(C.Load) + " of " + std::to_string(C.Width) + "\n";
+           std::to_string(C.Load) + " of " + std::to_string(C.MaxSequences) +
+           "\n";
   }
   return Out;
 }
 
 std::vector<std::string>
-EntryMachine::availableUpstreams(const Now &Now) const {
+EntryStateMachine::availableUpstreams(const CurrentTime &Now) const {
   std::vector<std::string> Out;
   for (const UpstreamDecl &U : Config->upstreams()) {
     if (U.Cell != Cell)
--- a/entry/testing/entry_machine_test.cc
+++ b/entry/testing/entry_machine_test.cc
@@ -31,14 +31,14 @@
   return Declarations::parse({{"t.ini", Text.str()}}, 1, Findings);
 }
 
-Now at(int64_t Ms) {
+CurrentTime at(int64_t Ms) {
   return {Time(std::chrono::milliseconds(100000 + Ms)),
           WallTime(std::chrono::milliseconds(100000 + Ms))};
 }
 
 struct EntryFixture {
   explicit EntryFixture(const char *Cell = "d")
-      : Machine(EntryMachine::Options(), config(), Cell, 9) {}
+      : Machine(EntryStateMachine::Options(), config(), Cell, 9) {}
 
   // A completion request. It arrives at Ms.
   void completion(int64_t Ms, const char *Adapter = "a",
@@ -64,10 +64,10 @@
   }
 
   // The message of the attempt that was sent last; null if there is none.
-  const SendSide *attempt() const {
-    const SendSide *Found = nullptr;
+  const SendToSide *attempt() const {
+    const SendToSide *Found = nullptr;
     for (const Action &A : Out)
-      if (const auto *S = std::get_if<SendSide>(&A))
+      if (const auto *S = std::get_if<SendToSide>(&A))
         if (S->Message.has_attempt())
           Found = S;
     return Found;
@@ -76,7 +76,7 @@
   // Answers all probes sent so far, except those to the upstream Except.
   void answerProbes(int64_t Ms, const std::string &Except = {}) {
     for (const Action &A : Actions(Out))
-      if (const auto *S = std::get_if<SendSide>(&A))
+      if (const auto *S = std::get_if<SendToSide>(&A))
         if (S->Message.has_probe() && S->Upstream != Except) {
           wire::Envelope E;
           E.mutable_probe_reply()->set_probe_id(S->Message.probe().probe_id());
@@ -89,7 +89,7 @@
   void event(int64_t Ms, wire::AttemptEvent::Kind Kind, uint32_t Sequence,
              const std::string &Code = {},
              wire::Outcome Known = wire::OUTCOME_NONE) {
-    const SendSide S = *attempt();
+    const SendToSide S = *attempt();
     wire::Envelope E;
     wire::AttemptEvent &Event = *E.mutable_event();
     Event.set_attempt_id(S.Message.attempt().attempt_id());
@@ -118,7 +118,7 @@
     return Total;
   }
 
-  EntryMachine Machine;
+  EntryStateMachine Machine;
   Actions Out;
 };
 
@@ -181,8 +181,9 @@
   CHECK(Entry.count<DeliverData>() == 1);
   Entry.event(5, wire::AttemptEvent::DATA, 3); // Requests event 2.
   CHECK(Entry.count<DeliverData>() == 1);
-  CHECK(std::get<SendSide>(Entry.Out.back()).Message.resume().next_sequence() ==
-        2);
+  CHECK(
+      std::get<SendToSide>(Entry.Out.back()).Message.resume().next_sequence() ==
+      2);
   wire::Envelope E;
   E.mutable_event()->set_attempt_id(
       Entry.attempt()->Message.attempt().attempt_id());
--- a/examples/demo.cc
+++ b/examples/demo.cc
@@ -31,7 +31,7 @@
   return R.Head.Status == 200;
 }
 
-bool useDeployment(testing::Fleet &Fleet) {
+bool useDeployment(testing::TestDeployment &Fleet) {
   bool Ok =
       printAnswer("an unstreamed answer through entry 1",
                   call(Fleet.Entries[0].Http, "/v1/completions",
@@ -48,7 +48,7 @@
                   call(Fleet.Entries[0].Http, "/v1/completions",
                        R"({"model":"a1@9","prompt":"x"})", {})) == false;
   const std::string Key = "order-1";
-  const std::string Issued = std::to_string(unixMillis(presentTime().Wall));
+  const std::string Issued = std::to_string(unixMillis(currentTime().Wall));
   const http::Headers KeyHeaders = {{"Idempotency-Key", Key},
                                     {"Idempotency-Key-Issued-At", Issued}};
   Ok &= printAnswer("a work order", call(Fleet.Entries[0].Http, "/work-orders",
@@ -61,7 +61,7 @@
     std::printf("  %s\n", Line.c_str());
   Fleet.Shape.Versions = "1 2 3";
   Ok &= Fleet.apply() == 0;
-  Ok &= testing::eventually([&] { return Fleet.generationInForce(2); }, 30);
+  Ok &= testing::eventually([&] { return Fleet.allHaveGeneration(2); }, 30);
   Ok &=
       printAnswer("a request for the version that was just applied",
                   call(Fleet.Entries[1].Http, "/v1/completions",
@@ -85,7 +85,7 @@
                  "folder for settings and logs; existing content is deleted");
   CLI11_PARSE(App, Argc, Argv);
   try {
-    testing::Fleet Fleet(testing::FleetShape(), Programs, Work);
+    testing::TestDeployment Fleet(testing::DeploymentOptions(), Programs, Work);
     Fleet.start();
     const bool Ok = useDeployment(Fleet);
     const bool CleanStop = Fleet.stopGracefully();
--- a/forward/call.h
+++ b/forward/call.h
@@ -13,7 +13,7 @@
 namespace goldcrestlink::forward {
 
 /// The model, adapter and size of an inference request.
-struct ModelAsk {
+struct InferenceParams {
   /// Empty for requests to plain services.
   std::string Model;
   /// Empty for the base model itself.
@@ -23,7 +23,7 @@
 };
 
 /// A caller's request as received.
-struct CallerCall {
+struct IncomingCall {
   /// The caller's id of this attempt; passed on unchanged.
   std::string RequestId;
   std::string Method;
@@ -35,11 +35,11 @@
   std::string Body;
   /// How long the caller will wait; zero if the caller did not state it.
   Duration TimeLeft{};
-  ModelAsk Ask;
+  InferenceParams Inference;
 };
 
 /// What the entry adds when it sends a call to an upstream.
-struct SendTerms {
+struct SendOptions {
   UpstreamRecord To;
   Duration TimeLeft{};
   /// Adapter version that must serve the call; 0 for any.
--- a/forward/forwarder.cc
+++ b/forward/forwarder.cc
@@ -30,7 +30,7 @@
 constexpr size_t MaxQueuedCalls = 256;
 } // namespace
 
-std::string_view wordOf(EndReason Reason) {
+std::string_view endReasonName(EndReason Reason) {
   switch (Reason) {
   case EndReason::NoConfig:
     return "no_config";
@@ -126,19 +126,20 @@
   return Route.Targets.empty() ? std::string() : Route.Targets.back().Service;
 }
 
-void Forwarder::rejectNewCall(uint64_t Id, const CallerCall &Request,
+void Forwarder::rejectNewCall(uint64_t Id, const IncomingCall &Request,
                               unsigned Status, Duration RetryAfter,
                               EndReason Why) {
   Port.log(
       LineClass::Kept,
-      "end id=" + Request.RequestId + " outcome=" + std::string(wordOf(Why)) +
+      "end id=" + Request.RequestId +
+          " outcome=" + std::string(endReasonName(Why)) +
           " status=" + std::to_string(Status) + " config=" +
           std::to_string(hasConfig() ? CurrentCatalog->config()->Version : 0));
-  Port.record(0, wordOf(Why), Duration(0), Duration(0));
-  Port.answerOwn(Id, Status, Request.RequestId, RetryAfter, Why);
+  Port.record(0, endReasonName(Why), Duration(0), Duration(0));
+  Port.answerWithError(Id, Status, Request.RequestId, RetryAfter, Why);
 }
 
-void Forwarder::onCall(Time Now, uint64_t Id, CallerCall Request) {
+void Forwarder::onCall(Time Now, uint64_t Id, IncomingCall Request) {
   if (!hasConfig())
     return rejectNewCall(Id, Request, 503, UnknownRetryAfter,
                          EndReason::NoConfig);
@@ -245,7 +246,7 @@
 // Engines.
 
 EngineRequirements Forwarder::requirementsOf(const ActiveCall &Call) const {
-  const ModelAsk &Ask = Call.Request.Ask;
+  const InferenceParams &Ask = Call.Request.Inference;
   return {Ask.Model, Ask.Adapter,
           CurrentCatalog->releasedVersion(Ask.Model, Ask.Adapter),
           Ask.PromptTokens, Call.Rank};
@@ -302,13 +303,13 @@
     if (Now - Last < PrefetchInterval)
       continue;
     Last = Now;
-    AdmissionAsk Admission;
+    AdmissionRequest Admission;
     Admission.Id = NextAdmissionId++;
     Admission.Model = Required.Model;
     Admission.Adapter = Required.Adapter;
     Admission.Version = Required.Version;
     Admission.Prefetch = true;
-    Port.ask(*C.Upstream, Admission);
+    Port.requestAdmission(*C.Upstream, Admission);
   }
 }
 
@@ -324,20 +325,20 @@
   Call.CurrentStage = Stage::AdmissionRequested;
   Call.StageUntil = Now + Opts.admissionTimeout();
   schedule(Call.StageUntil, Call.Id);
-  AdmissionAsk Admission;
+  AdmissionRequest Admission;
   Admission.Id = Call.AdmissionId;
-  Admission.Model = Call.Request.Ask.Model;
-  Admission.Adapter = Call.Request.Ask.Adapter;
-  Admission.Version = CurrentCatalog->releasedVersion(Call.Request.Ask.Model,
-                                                      Call.Request.Ask.Adapter);
+  Admission.Model = Call.Request.Inference.Model;
+  Admission.Adapter = Call.Request.Inference.Adapter;
+  Admission.Version = CurrentCatalog->releasedVersion(
+      Call.Request.Inference.Model, Call.Request.Inference.Adapter);
   Admission.Rank = Call.Rank;
-  Admission.PromptTokens = Call.Request.Ask.PromptTokens;
-  Admission.OutputTokens = Call.Request.Ask.MaxOutputTokens;
-  Admission.Patience = Call.MaxWait;
+  Admission.PromptTokens = Call.Request.Inference.PromptTokens;
+  Admission.OutputTokens = Call.Request.Inference.MaxOutputTokens;
+  Admission.MaxWait = Call.MaxWait;
   Admission.ObjectiveLeft = Call.Arrived + Call.Objective - Now;
   Admission.TimeLeft = Call.Deadline - Now;
   Engines.onSent(Now, Call.Upstream.Id, requirementsOf(Call));
-  Port.ask(Call.Upstream, Admission);
+  Port.requestAdmission(Call.Upstream, Admission);
 }
 
 void Forwarder::endAdmission(ActiveCall &Call) {
@@ -347,7 +348,7 @@
       Call.FirstByteAt != Time{} && Call.SentAt != Time{}
           ? Call.FirstByteAt - Call.SentAt
           : Duration(0);
-  Port.endAsk(Call.Upstream, Call.AdmissionId, FirstToken);
+  Port.endAdmission(Call.Upstream, Call.AdmissionId, FirstToken);
   CallByAdmission.erase(Call.AdmissionId);
   Call.AdmissionId = 0;
 }
@@ -362,7 +363,7 @@
   if (Call.CurrentStage != Stage::AdmissionRequested &&
       Call.CurrentStage != Stage::WaitingAtSide)
     return;
-  switch (Reply.What) {
+  switch (Reply.Decision) {
   case Verdict::Go:
     if (!isUsable(Call.Upstream.Id)) {
       endAdmission(Call);
--- a/forward/forwarder.h
+++ b/forward/forwarder.h
@@ -52,7 +52,7 @@
 };
 
 /// Name of \p Reason in logs, metrics and answers. Thread-safe.
-std::string_view wordOf(EndReason Reason);
+std::string_view endReasonName(EndReason Reason);
 
 /// Outcome in logs and metrics of a call that was answered with success.
 constexpr std::string_view ServedOutcome = "served";
@@ -70,23 +70,23 @@
 public:
   virtual ~ForwardPort() = default;
   /// Sends an admission request to the side beside \p Engine.
-  virtual void ask(const UpstreamRecord &Engine,
-                   const AdmissionAsk &Request) = 0;
+  virtual void requestAdmission(const UpstreamRecord &Engine,
+                                const AdmissionRequest &Request) = 0;
   /// Notifies the side beside \p Engine that a waiting or granted request has
   /// ended. \p FirstToken is the time from the send to the first byte of the
   /// answer; zero if there was none.
-  virtual void endAsk(const UpstreamRecord &Engine, uint64_t AdmissionId,
-                      Duration FirstToken) = 0;
+  virtual void endAdmission(const UpstreamRecord &Engine, uint64_t AdmissionId,
+                            Duration FirstToken) = 0;
   /// The side beside \p Engine did not answer in time; its connection may be
   /// dead.
-  virtual void sideSilent(const UpstreamRecord &Engine) = 0;
-  virtual void send(SendId Send, const CallerCall &Request,
-                    const SendTerms &Terms) = 0;
+  virtual void onSideTimeout(const UpstreamRecord &Engine) = 0;
+  virtual void send(SendId Send, const IncomingCall &Request,
+                    const SendOptions &Terms) = 0;
   /// Closes the connection that carries the send, if it is still open.
   virtual void cancelSend(SendId Send) = 0;
   /// Sends the caller a complete answer.
-  virtual void answerWhole(uint64_t Call, unsigned Status,
-                           const http::Headers &Fields, std::string Body) = 0;
+  virtual void answerInFull(uint64_t Call, unsigned Status,
+                            const http::Headers &Fields, std::string Body) = 0;
   /// Starts a streamed answer.
   virtual void answerBegin(uint64_t Call, unsigned Status,
                            const http::Headers &Fields) = 0;
@@ -97,9 +97,9 @@
   virtual void answerAbort(uint64_t Call) = 0;
   /// Sends an answer that the entry itself makes. \p RetryAfter is zero to send
   /// no Retry-After field.
-  virtual void answerOwn(uint64_t Call, unsigned Status,
-                         std::string_view RequestId, Duration RetryAfter,
-                         EndReason Why) = 0;
+  virtual void answerWithError(uint64_t Call, unsigned Status,
+                               std::string_view RequestId, Duration RetryAfter,
+                               EndReason Why) = 0;
   virtual void log(LineClass Class, std::string Line) = 0;
   /// Records an ended call in the metrics. \p FirstByte and \p Total count from
   /// the call's arrival; \p FirstByte is zero if there was none.
@@ -167,7 +167,7 @@
   /// Replaces the known state of the deployment.
   void onCatalog(Time Now, std::shared_ptr<const Catalog> NewCatalog);
   /// A caller's request arrived. \p Id must not be in use by another call.
-  void onCall(Time Now, uint64_t Id, CallerCall Request);
+  void onCall(Time Now, uint64_t Id, IncomingCall Request);
   /// The caller disconnected.
   void onCallerGone(Time Now, uint64_t Id);
   void onAdmission(Time Now, const std::string &UpstreamId,
@@ -205,7 +205,7 @@
 
   struct ActiveCall {
     uint64_t Id = 0;
-    CallerCall Request;
+    IncomingCall Request;
     Stage CurrentStage = Stage::Queued;
     std::string RouteName;
     std::string Service;
@@ -256,7 +256,7 @@
   bool isUsable(const std::string &UpstreamId) const;
   /// Picks one of the route's services at random, by weight.
   std::string pickService(const RouteSpec &Route);
-  void rejectNewCall(uint64_t Id, const CallerCall &Request, unsigned Status,
+  void rejectNewCall(uint64_t Id, const IncomingCall &Request, unsigned Status,
                      Duration RetryAfter, EndReason Why);
 
   // Plain services.
--- a/forward/forwarder_sends.cc
+++ b/forward/forwarder_sends.cc
@@ -47,7 +47,7 @@
   ++Call.Sends;
   if (!Call.IsEngine)
     Balancer.onSent(Call.Upstream.Id);
-  SendTerms Terms;
+  SendOptions Terms;
   Terms.To = Call.Upstream;
   Terms.TimeLeft = Call.Deadline - Now;
   Terms.Version = Version;
@@ -178,7 +178,7 @@
 
 void Forwarder::forwardAnswer(Time Now, ActiveCall &Call,
                               const AnswerHead &Head, std::string Body) {
-  Port.answerWhole(Call.Id, Head.Status, Head.Fields, std::move(Body));
+  Port.answerInFull(Call.Id, Head.Status, Head.Fields, std::move(Body));
   endCall(Now, Call,
           isSuccess(Head.Status) ? ServedOutcome : "upstream_failure");
 }
@@ -254,7 +254,7 @@
 void Forwarder::fail(Time Now, ActiveCall &Call, EndReason Why) {
   if (Call.HeadForwarded) {
     Port.answerAbort(Call.Id);
-    return endCall(Now, Call, wordOf(Why));
+    return endCall(Now, Call, endReasonName(Why));
   }
   if (Call.HasFailure) {
     std::string Body = std::move(Call.FailureBody);
@@ -262,12 +262,12 @@
                          std::move(Body));
   }
   if (!Call.MayHaveRun)
-    Port.answerOwn(Call.Id, 503, Call.Request.RequestId, retryAfter(Now, Call),
-                   Why);
+    Port.answerWithError(Call.Id, 503, Call.Request.RequestId,
+                         retryAfter(Now, Call), Why);
   else
-    Port.answerOwn(Call.Id, Why == EndReason::TimedOut ? 504 : 502,
-                   Call.Request.RequestId, Duration(0), Why);
-  endCall(Now, Call, wordOf(Why));
+    Port.answerWithError(Call.Id, Why == EndReason::TimedOut ? 504 : 502,
+                         Call.Request.RequestId, Duration(0), Why);
+  endCall(Now, Call, endReasonName(Why));
 }
 
 void Forwarder::endCall(Time Now, ActiveCall &Call, std::string_view Outcome) {
@@ -294,9 +294,9 @@
                     " route=" + Call.RouteName +
                     " rank=" + std::to_string(Call.Rank);
   if (Call.IsEngine)
-    Out += " model=" + Call.Request.Ask.Model +
-           " adapter=" + Call.Request.Ask.Adapter +
-           " prompt=" + std::to_string(Call.Request.Ask.PromptTokens);
+    Out += " model=" + Call.Request.Inference.Model +
+           " adapter=" + Call.Request.Inference.Adapter +
+           " prompt=" + std::to_string(Call.Request.Inference.PromptTokens);
   if (!Call.Upstream.Id.empty())
     Out += " upstream=" + Call.Upstream.Id;
   return Out;
@@ -335,13 +335,14 @@
     Port.log(LineClass::Kept, "side_silent " + describe(Call));
     Engines.onSideSilent(Now, Call.Upstream.Id);
     endAdmission(Call);
-    Port.sideSilent(Call.Upstream);
+    Port.onSideTimeout(Call.Upstream);
     // An engine reliably refuses what it cannot serve, so sending to it without
     // admission by its side is safe.
     if (Call.UpstreamHoldsAdapter && isUsable(Call.Upstream.Id))
-      return sendTo(Now, Call,
-                    CurrentCatalog->releasedVersion(Call.Request.Ask.Model,
-                                                    Call.Request.Ask.Adapter));
+      return sendTo(
+          Now, Call,
+          CurrentCatalog->releasedVersion(Call.Request.Inference.Model,
+                                          Call.Request.Inference.Adapter));
     Call.TriedUpstreams.insert(Call.Upstream.Id);
     return placeOnEngine(Now, Call);
   case Stage::WaitingAtSide:
--- a/forward/testing/forwarder_test.cc
+++ b/forward/testing/forwarder_test.cc
@@ -67,26 +67,27 @@
 struct Recorder : ForwardPort {
   struct Sent {
     SendId Id;
-    SendTerms Terms;
+    SendOptions Terms;
   };
   struct SentAdmission {
     std::string Upstream;
-    AdmissionAsk Ask;
+    AdmissionRequest Ask;
   };
 
-  void ask(const UpstreamRecord &Of, const AdmissionAsk &A) override {
+  void requestAdmission(const UpstreamRecord &Of,
+                        const AdmissionRequest &A) override {
     Admissions.push_back({Of.Id, A});
   }
-  void endAsk(const UpstreamRecord &, uint64_t AskId, Duration) override {
+  void endAdmission(const UpstreamRecord &, uint64_t AskId, Duration) override {
     EndedAdmissions.insert(AskId);
   }
-  void sideSilent(const UpstreamRecord &) override { ++SilentSides; }
-  void send(SendId S, const CallerCall &, const SendTerms &T) override {
+  void onSideTimeout(const UpstreamRecord &) override { ++SilentSides; }
+  void send(SendId S, const IncomingCall &, const SendOptions &T) override {
     Sends.push_back({S, T});
   }
   void cancelSend(SendId) override { ++Cancelled; }
-  void answerWhole(uint64_t, unsigned NewStatus, const http::Headers &,
-                   std::string Text) override {
+  void answerInFull(uint64_t, unsigned NewStatus, const http::Headers &,
+                    std::string Text) override {
     Status = NewStatus;
     Body = std::move(Text);
     ++Ends;
@@ -101,8 +102,8 @@
     Aborted = true;
     ++Ends;
   }
-  void answerOwn(uint64_t, unsigned NewStatus, std::string_view, Duration After,
-                 EndReason Why) override {
+  void answerWithError(uint64_t, unsigned NewStatus, std::string_view,
+                       Duration After, EndReason Why) override {
     Status = NewStatus;
     RetryAfter = After;
     Reason = Why;
@@ -130,19 +131,19 @@
   }
 
   void call(const std::string &Target, int64_t TimeLeftMs = 10000) {
-    CallerCall C;
+    IncomingCall C;
     C.RequestId = "r1";
     C.Method = "POST";
     C.Host = "h";
     C.Target = Target;
     C.TimeLeft = std::chrono::milliseconds(TimeLeftMs);
-    C.Ask = {"m", "a1", 500, 50};
+    C.Inference = {"m", "a1", 500, 50};
     Machine.onCall(at(1), 1, std::move(C));
   }
 
   void replyAdmission(int64_t Ms, Verdict V = Verdict::Go) {
     AdmissionReply R;
-    R.What = V;
+    R.Decision = V;
     R.Version = 1;
     R.Expected = std::chrono::milliseconds(400);
     const Recorder::SentAdmission &A = Port.Admissions.back();
@@ -402,7 +403,7 @@
   for (const RejectionRow &R :
        {RejectionRow{"/none/x", "r", 404}, RejectionRow{"/once/x", "", 400}}) {
     Entry E;
-    CallerCall C;
+    IncomingCall C;
     C.Host = "h";
     C.Target = R.Target;
     C.RequestId = R.Id;
@@ -411,7 +412,7 @@
   }
   Recorder Port;
   Forwarder Unconfigured(Forwarder::Options(), Port, 1);
-  Unconfigured.onCall(at(1), 1, CallerCall());
+  Unconfigured.onCall(at(1), 1, IncomingCall());
   CHECK(Port.Status == 503);
   CHECK(Port.RetryAfter > Duration(0));
 }
--- a/http/client.cc
+++ b/http/client.cc
@@ -69,7 +69,7 @@
   return Error == std::errc() ? std::chrono::seconds(Value) : Duration(0);
 }
 
-Time steadyNow() { return presentTime().Steady; }
+Time steadyNow() { return currentTime().Steady; }
 } // namespace
 
 struct Client::Pool {
--- a/membership/shard_lease.cc
+++ b/membership/shard_lease.cc
@@ -60,7 +60,7 @@
 }
 
 void ShardLease::plan(Time Now, wire::ShardTable &Table,
-                      ShardEffects &Effects) {
+                      ShardChanges &Effects) {
   if (Started == Time{})
     Started = Now;
   auto &Members = *Table.mutable_members();
@@ -118,7 +118,7 @@
 }
 
 void ShardLease::applyTable(const wire::ShardTable &Table,
-                            ShardEffects &Effects) {
+                            ShardChanges &Effects) {
   std::set<uint32_t> OwnShards;
   for (const wire::ShardMember &Member : Table.members())
     for (const wire::ShardGrant &Grant : Member.shards()) {
@@ -136,7 +136,7 @@
 }
 
 void ShardLease::onWritten(Time SentAt, Time Now, const wire::ShardTable &Table,
-                           ShardEffects &Effects) {
+                           ShardChanges &Effects) {
   applyTable(Table, Effects);
   if (Releasing) {
     Released = true;
--- a/membership/shard_lease.h
+++ b/membership/shard_lease.h
@@ -33,7 +33,7 @@
 namespace goldcrestlink {
 
 /// Changes that the I/O layer applies to the key ledger.
-struct ShardEffects {
+struct ShardChanges {
   struct Taken {
     uint32_t Shard;
     uint64_t FencingNumber;
@@ -89,7 +89,7 @@
   ShardLease(Options O, std::string Side, uint64_t Incarnation);
 
   /// True when the table has to be read and written again.
-  bool due(Time Now) const { return Now >= NextRenewal; }
+  bool renewalDue(Time Now) const { return Now >= NextRenewal; }
   /// The platform listed the upstreams in \p Gone as gone. Replaces the list of
   /// the previous call.
   void onGone(Time Now, const std::set<std::string> &Gone);
@@ -98,10 +98,10 @@
   /// Changes \p Table, as read, to the table that this side has to write.
   /// Shards that it gives up are added to \p Effects.Drop and must be dropped
   /// before the write, so that no two sides own a shard at once.
-  void plan(Time Now, wire::ShardTable &Table, ShardEffects &Effects);
+  void plan(Time Now, wire::ShardTable &Table, ShardChanges &Effects);
   /// \p Table was written by a platform call that was sent at \p SentAt.
   void onWritten(Time SentAt, Time Now, const wire::ShardTable &Table,
-                 ShardEffects &Effects);
+                 ShardChanges &Effects);
   /// Makes the next plan() give up all shards and the membership.
   void release();
   /// True once a table without this side was written after release().
@@ -116,7 +116,7 @@
   /// True if the member's lease has ended for its holder as well. Called for
   /// every other member of each table read, because it records renewals.
   bool expired(Time Now, const wire::ShardMember &Member);
-  void applyTable(const wire::ShardTable &Table, ShardEffects &Effects);
+  void applyTable(const wire::ShardTable &Table, ShardChanges &Effects);
   wire::ShardMember *ownMember(wire::ShardTable &Table) const;
   size_t shardQuota(Time Now, const wire::ShardTable &Table) const;
 
--- a/placement/load_broker.cc
+++ b/placement/load_broker.cc
@@ -37,12 +37,12 @@
     : Limits(O), Bucket(O.rate(), O.burst()),
       Shares(std::move(RankShares), std::chrono::seconds(10)) {}
 
-void LoadBroker::request(Time Now, const PermitWish &Request) {
+void LoadBroker::request(Time Now, const PermitRequest &Request) {
   const Key K{Request.Side, Request.Adapter};
   const auto It = Waiting.find(K);
   if (It == Waiting.end() && Waiting.size() >= Limits.maxWaiting())
     return;
-  PermitWish &Stored = Waiting[K];
+  PermitRequest &Stored = Waiting[K];
   const Time Since = It == Waiting.end() ? Now : Stored.Since;
   Stored = Request;
   Stored.Rank = std::min(Stored.Rank, Shares.classes() - 1);
@@ -69,20 +69,20 @@
 
 // The load of more worth goes first, then escalated requests, then the older
 // one.
-bool LoadBroker::goesBefore(const PermitWish &A, const PermitWish &B) {
+bool LoadBroker::goesBefore(const PermitRequest &A, const PermitRequest &B) {
   if (A.Priority != B.Priority)
     return A.Priority > B.Priority;
-  if (A.Pressed != B.Pressed)
-    return A.Pressed;
+  if (A.Escalated != B.Escalated)
+    return A.Escalated;
   return A.Since < B.Since;
 }
 
-std::vector<PermitWish> LoadBroker::grant(Time Now) {
+std::vector<PermitRequest> LoadBroker::grant(Time Now) {
   expire(Now);
-  std::vector<PermitWish> Granted;
+  std::vector<PermitRequest> Granted;
   while (!Waiting.empty() && Permits.size() < Limits.maxInFlight()) {
-    std::vector<std::map<Key, PermitWish>::iterator> Best(Shares.classes(),
-                                                          Waiting.end());
+    std::vector<std::map<Key, PermitRequest>::iterator> Best(Shares.classes(),
+                                                             Waiting.end());
     std::vector<bool> Eligible(Shares.classes());
     std::vector<bool> Escalated(Shares.classes());
     for (auto It = Waiting.begin(); It != Waiting.end(); ++It) {
@@ -90,7 +90,7 @@
       if (B == Waiting.end() || goesBefore(It->second, B->second))
         B = It;
       Eligible[It->second.Rank] = true;
-      if (It->second.Pressed)
+      if (It->second.Escalated)
         Escalated[It->second.Rank] = true;
     }
     const auto Rank = Shares.pick(Eligible, Escalated);
--- a/placement/load_broker.h
+++ b/placement/load_broker.h
@@ -43,7 +43,7 @@
 };
 
 /// A side's request for a permit to load one adapter.
-struct PermitWish {
+struct PermitRequest {
   std::string Side;
   /// Hash of the adapter version.
   uint64_t Adapter = 0;
@@ -52,7 +52,7 @@
   double Priority = 0;
   /// True if the waiting requests need their rank's share of the loads now;
   /// false if they can still wait.
-  bool Pressed = true;
+  bool Escalated = true;
   /// When the broker received the request first, and last. Set by the broker.
   Time Since{};
   Time Renewed{};
@@ -112,13 +112,13 @@
 
   /// Adds or renews a load request. A request that is not renewed expires.
   /// Ignored if the broker already holds its maximum number of requests.
-  void request(Time Now, const PermitWish &Request);
+  void request(Time Now, const PermitRequest &Request);
   /// Ends a permit, or withdraws a load request. If \p Used is false, the
   /// permit was not used, and its token is returned to the bucket.
   void release(Time Now, const std::string &Side, uint64_t Adapter, bool Used);
   /// Grants as many permits as the limits allow. Returns the requests that were
   /// granted, in the order of the grants.
-  std::vector<PermitWish> grant(Time Now);
+  std::vector<PermitRequest> grant(Time Now);
   /// Time until grant() should be called again if requests are waiting.
   Duration untilNext(Time Now) const { return Bucket.untilNext(Now); }
   size_t waiting() const { return Waiting.size(); }
@@ -127,12 +127,12 @@
   // Side and adapter.
   using Key = std::pair<std::string, uint64_t>;
   void expire(Time Now);
-  static bool goesBefore(const PermitWish &A, const PermitWish &B);
+  static bool goesBefore(const PermitRequest &A, const PermitRequest &B);
 
   Options Limits;
   TokenBucket Bucket;
   ShareTracker Shares;
-  std::map<Key, PermitWish> Waiting;
+  std::map<Key, PermitRequest> Waiting;
   // Permits in use, with the time of their grant.
   std::map<Key, Time> Permits;
 };
--- a/placement/load_planner.cc
+++ b/placement/load_planner.cc
@@ -31,28 +31,28 @@
   });
 }
 
-std::vector<PermitAsk> LoadPlanner::plan(Time Now,
-                                         std::span<const LoadWant> Needed) {
+std::vector<BrokerRequest>
+LoadPlanner::plan(Time Now, std::span<const NeededLoad> Needed) {
   backOffSilentBrokers(Now);
   std::erase_if(OpenRequests, [&](const auto &Item) {
-    return std::none_of(Needed.begin(), Needed.end(), [&](const LoadWant &W) {
+    return std::none_of(Needed.begin(), Needed.end(), [&](const NeededLoad &W) {
       return W.Adapter == Item.first;
     });
   });
-  std::vector<PermitAsk> Out;
+  std::vector<BrokerRequest> Out;
   const std::string Target = broker(Now);
   if (Target.empty())
     return Out;
-  for (const LoadWant &W : Needed) {
+  for (const NeededLoad &W : Needed) {
     const auto It = OpenRequests.find(W.Adapter);
     const bool UpToDate = It != OpenRequests.end() &&
                           It->second.Priority == W.Priority &&
-                          It->second.Escalated == W.Pressed &&
+                          It->second.Escalated == W.Escalated &&
                           Now - It->second.Sent < Limits.renewEvery();
     const bool Pending = It != OpenRequests.end() && !It->second.Answered;
     if (UpToDate || Pending)
       continue;
-    OpenRequests[W.Adapter] = {Target, Now, W.Priority, W.Pressed, false};
+    OpenRequests[W.Adapter] = {Target, Now, W.Priority, W.Escalated, false};
     Out.push_back({Target, W});
   }
   return Out;
@@ -70,7 +70,7 @@
   return Granted;
 }
 
-bool LoadPlanner::takeStatic(Time Now) {
+bool LoadPlanner::takeFromStaticShare(Time Now) {
   return broker(Now).empty() && StaticShare.take(Now);
 }
 
--- a/placement/load_planner.h
+++ b/placement/load_planner.h
@@ -21,7 +21,7 @@
 
 /// An adapter that waiting requests need and that is neither loaded nor
 /// loading.
-struct LoadWant {
+struct NeededLoad {
   /// Hash of Key.
   uint64_t Adapter = 0;
   /// "adapter@version".
@@ -34,13 +34,13 @@
   size_t Waiting = 0;
   /// True if a waiting request should not yield to others any more, since it
   /// has waited for a large part of its target or is of the most urgent rank.
-  bool Pressed = false;
+  bool Escalated = false;
 };
 
 /// A request for a permit, to be sent to a broker.
-struct PermitAsk {
+struct BrokerRequest {
   std::string Broker;
-  LoadWant What;
+  NeededLoad Load;
 };
 
 /// Not thread-safe.
@@ -82,14 +82,14 @@
 
   /// Compares the loads needed now with the open permit requests. Returns the
   /// requests to send: new ones, changed ones and renewals.
-  std::vector<PermitAsk> plan(Time Now, std::span<const LoadWant> Needed);
+  std::vector<BrokerRequest> plan(Time Now, std::span<const NeededLoad> Needed);
   /// A broker answered a permit request. Returns true if the adapter may be
   /// loaded now.
   bool onAnswer(Time Now, const std::string &Broker, uint64_t Adapter,
                 bool Granted);
   /// Takes one load from the static share. Returns true if it may be started;
   /// always false while a broker answers.
-  bool takeStatic(Time Now);
+  bool takeFromStaticShare(Time Now);
   /// The broker that permit requests are sent to now; empty if none answers.
   std::string broker(Time Now) const;
   const std::vector<std::string> &brokers() const { return Brokers; }
--- a/placement/testing/placement_test.cc
+++ b/placement/testing/placement_test.cc
@@ -99,24 +99,24 @@
 
 TEST_CASE("silent brokers are skipped; without any, the static share is used") {
   LoadPlanner P(LoadPlanner::Options().setStaticRate(2), {"first", "second"});
-  const std::vector<LoadWant> Needed = {{1, "a@1", 0, 1, 1, true}};
+  const std::vector<NeededLoad> Needed = {{1, "a@1", 0, 1, 1, true}};
   auto Requests = P.plan(at(0), Needed);
   REQUIRE(Requests.size() == 1);
   CHECK(Requests[0].Broker == "first");
-  CHECK_FALSE(P.takeStatic(at(0)));
+  CHECK_FALSE(P.takeFromStaticShare(at(0)));
   Requests = P.plan(at(500), Needed);
   REQUIRE(Requests.size() == 1);
   CHECK(Requests[0].Broker == "second");
   CHECK(P.plan(at(1000), Needed).empty());
-  CHECK(P.takeStatic(at(1000)));
-  CHECK_FALSE(P.takeStatic(at(1010)));
+  CHECK(P.takeFromStaticShare(at(1000)));
+  CHECK_FALSE(P.takeFromStaticShare(at(1010)));
   // Requests are sent again after the backoff.
   CHECK(P.plan(at(7000), Needed).size() == 1);
 }
 
 TEST_CASE("a permit for an adapter that is not needed any more is not used") {
   LoadPlanner P(LoadPlanner::Options(), {"broker"});
-  P.plan(at(0), std::vector<LoadWant>{{1, "a@1", 0, 1, 1, true}});
+  P.plan(at(0), std::vector<NeededLoad>{{1, "a@1", 0, 1, 1, true}});
   P.plan(at(10), {});
   CHECK_FALSE(P.onAnswer(at(20), "broker", 1, true));
 }
--- a/routing/candidate_choice.cc
+++ b/routing/candidate_choice.cc
@@ -61,7 +61,7 @@
 } // namespace
 
 double candidateCost(const Candidate &C, size_t Position) {
-  double Cost = seconds(C.Wait) +
+  double Cost = seconds(C.ExpectedWait) +
                 SecondsPerAttempt * static_cast<double>(C.Load) +
                 SecondsPerPosition * static_cast<double>(Position);
   if (!C.Resident && !C.Loading)
--- a/routing/candidate_choice.h
+++ b/routing/candidate_choice.h
@@ -24,9 +24,9 @@
   /// that of this entry's own open attempts if that is larger.
   size_t Load = 0;
   /// Maximum number of sequences that the upstream runs at once.
-  size_t Width = 1;
+  size_t MaxSequences = 1;
   /// Expected wait as reported by a probe; zero if not probed.
-  Duration Wait{};
+  Duration ExpectedWait{};
   /// Demand for the adapter that a load would evict.
   double VictimValue = 0;
   /// A probe of this candidate was answered.
--- a/routing/side_view.cc
+++ b/routing/side_view.cc
@@ -9,19 +9,19 @@
 
 namespace goldcrestlink {
 
-void SideView::asked(Time Now) {
+void SideView::onRequestSent(Time Now) {
   if (ReplyAwaitedSince == Time{})
     ReplyAwaitedSince = Now;
 }
 
-void SideView::heard(Time Now) {
+void SideView::onMessage(Time Now) {
   LastReceived = Now;
   ReplyAwaitedSince = Time{};
   WasReset = false;
   IsUnreachable = false;
 }
 
-void SideView::learn(Time Now, const wire::SideState &State) {
+void SideView::updateState(Time Now, const wire::SideState &State) {
   Resident.clear();
   Resident.insert(State.resident().begin(), State.resident().end());
   Running = State.running();
@@ -38,8 +38,8 @@
   ListedGone = IsGone;
 }
 
-SideView::Verdict SideView::judge(Time Now, const Options &Opts,
-                                  size_t Outstanding) {
+SideView::Verdict SideView::checkLiveness(Time Now, const Options &Opts,
+                                          size_t Outstanding) {
   if (IsUnreachable && Now - UnreachableSince >= Opts.unreachableBackoff()) {
     UnreachableSince = Now;
     ReplyAwaitedSince = Now;
--- a/routing/side_view.h
+++ b/routing/side_view.h
@@ -45,7 +45,7 @@
     Duration UnreachableBackoff = std::chrono::seconds(1);
   };
 
-  enum class Verdict {
+  enum class LivenessStep {
     /// Nothing to do.
     Fine,
     /// Attempts are open at the side and no message came for quietLimit(): send
@@ -59,15 +59,15 @@
   };
 
   /// A message that requires a reply was sent.
-  void asked(Time Now);
+  void onRequestSent(Time Now);
   /// A message arrived.
-  void heard(Time Now);
+  void onMessage(Time Now);
   /// A message with the side's state arrived.
-  void learn(Time Now, const wire::SideState &State);
+  void updateState(Time Now, const wire::SideState &State);
   /// Checks how long the side has been silent and returns the step to take.
   /// Records the step as taken, so that each is returned once; Fine means that
   /// there is none. \p Outstanding is the number of attempts open at the side.
-  Verdict judge(Time Now, const Options &Opts, size_t Outstanding);
+  Verdict checkLiveness(Time Now, const Options &Opts, size_t Outstanding);
   /// Sets whether the published list names the upstream as draining, or no
   /// longer contains it.
   void setListed(bool Draining, bool Gone);
--- a/scheduling/rank_queue.cc
+++ b/scheduling/rank_queue.cc
@@ -22,7 +22,7 @@
       AppShares(std::move(AppShares)), Ranks(RankShares.size()),
       RankWork(RankShares.size()), ServedSeconds(RankShares.size()) {}
 
-bool RankQueue::push(WaitingItem Item) {
+bool RankQueue::push(WaitingAttempt Item) {
   assert(Item.Rank < Ranks.size());
   assert(!Index.count(Item.AttemptId));
   if (Index.size() >= Opts.maxWaiting())
@@ -31,16 +31,16 @@
   auto Where = List.end();
   while (Where != List.begin() && std::prev(Where)->Target > Item.Target)
     --Where;
-  RankWork[Item.Rank] += Item.Service;
+  RankWork[Item.Rank] += Item.ServiceTime;
   const size_t Rank = Item.Rank;
   const auto It = List.insert(Where, std::move(Item));
   Index.emplace(It->AttemptId, Position{Rank, It});
   return true;
 }
 
-WaitingItem RankQueue::take(Items::iterator It) {
-  WaitingItem Out = std::move(*It);
-  RankWork[Out.Rank] -= Out.Service;
+WaitingAttempt RankQueue::take(Items::iterator It) {
+  WaitingAttempt Out = std::move(*It);
+  RankWork[Out.Rank] -= Out.ServiceTime;
   Index.erase(Out.AttemptId);
   Ranks[Out.Rank].erase(It);
   return Out;
@@ -64,7 +64,7 @@
 
 RankQueue::Items::iterator
 RankQueue::nextOf(size_t Rank,
-                  const std::function<bool(const WaitingItem &)> &CanStart) {
+                  const std::function<bool(const WaitingAttempt &)> &CanStart) {
   Items &List = Ranks[Rank];
   auto Best = List.end();
   double BestService = 0;
@@ -78,9 +78,8 @@
   return Best;
 }
 
-std::optional<WaitingItem>
-RankQueue::pickNext(Time Now,
-                    const std::function<bool(const WaitingItem &)> &CanStart) {
+std::optional<WaitingAttempt> RankQueue::pickNext(
+    Time Now, const std::function<bool(const WaitingAttempt &)> &CanStart) {
   std::vector<Items::iterator> Best(Ranks.size());
   std::vector<bool> Eligible(Ranks.size());
   for (size_t I = 0; I < Ranks.size(); ++I) {
@@ -90,8 +89,8 @@
   const auto Rank = RankTracker.pick(Eligible, Eligible);
   if (!Rank)
     return std::nullopt;
-  WaitingItem Out = take(Best[*Rank]);
-  const double Work = seconds(Out.Service);
+  WaitingAttempt Out = take(Best[*Rank]);
+  const double Work = seconds(Out.ServiceTime);
   RankTracker.charge(Now, *Rank, Work);
   auto &Served = ServedSeconds[*Rank];
   Served[Out.Application] += Work;
@@ -101,18 +100,18 @@
   return Out;
 }
 
-bool RankQueue::isTooLate(Time Now, const WaitingItem &Item) const {
+bool RankQueue::isTooLate(Time Now, const WaitingAttempt &Item) const {
   if (Item.Target <= Now)
     return true;
   // An attempt that takes too long for its target even without any wait is not
   // refused for that alone.
   const Duration Tolerable =
       fromSeconds(TolerableWaitShare * seconds(Item.Target - Item.Arrived));
-  return Now - Item.Arrived > Tolerable && Now + Item.Service > Item.Target;
+  return Now - Item.Arrived > Tolerable && Now + Item.ServiceTime > Item.Target;
 }
 
-std::vector<WaitingItem> RankQueue::takeHopeless(Time Now) {
-  std::vector<WaitingItem> Out;
+std::vector<WaitingAttempt> RankQueue::takeTooLate(Time Now) {
+  std::vector<WaitingAttempt> Out;
   for (Items &List : Ranks)
     for (auto It = List.begin(); It != List.end();) {
       const auto Next = std::next(It);
@@ -123,7 +122,7 @@
   return Out;
 }
 
-const std::list<WaitingItem> &RankQueue::waiting(size_t Rank) const {
+const std::list<WaitingAttempt> &RankQueue::waiting(size_t Rank) const {
   assert(Rank < Ranks.size());
   return Ranks[Rank];
 }
--- a/scheduling/rank_queue.h
+++ b/scheduling/rank_queue.h
@@ -25,7 +25,7 @@
 constexpr double TolerableWaitShare = 0.3;
 
 /// One waiting attempt.
-struct WaitingItem {
+struct WaitingAttempt {
   std::string AttemptId;
   /// Hash of the slot key; 0 for plain services.
   uint64_t Slot = 0;
@@ -38,7 +38,7 @@
   /// When the attempt ends with an error.
   Time Deadline;
   /// Expected time from the start to the complete answer.
-  Duration Service{};
+  Duration ServiceTime{};
   /// The attempt must run alone on the upstream.
   bool Isolated = false;
 };
@@ -71,19 +71,20 @@
 
   /// Adds an attempt; returns false if the queue is full. Precondition: the
   /// rank is less than ranks(), and no attempt with this id is waiting.
-  bool push(WaitingItem Item);
+  bool push(WaitingAttempt Item);
   /// Removes an attempt; returns false if it is not waiting.
   bool remove(const std::string &AttemptId);
   /// Removes and returns the attempt to start next among those that \p CanStart
   /// accepts, and counts its service time towards its rank and application.
-  std::optional<WaitingItem>
-  pickNext(Time Now, const std::function<bool(const WaitingItem &)> &CanStart);
+  std::optional<WaitingAttempt>
+  pickNext(Time Now,
+           const std::function<bool(const WaitingAttempt &)> &CanStart);
   /// Removes and returns the attempts that are past their target, and those
   /// that would miss it and have used up TolerableWaitShare.
-  std::vector<WaitingItem> takeHopeless(Time Now);
+  std::vector<WaitingAttempt> takeTooLate(Time Now);
 
   /// Waiting attempts of \p Rank, earliest target first.
-  const std::list<WaitingItem> &waiting(size_t Rank) const;
+  const std::list<WaitingAttempt> &waiting(size_t Rank) const;
   size_t size() const { return Index.size(); }
   size_t ranks() const { return Ranks.size(); }
   /// Sum of the expected service times of the attempts that wait at \p Rank or
@@ -91,7 +92,7 @@
   Duration workAhead(size_t Rank) const;
 
 private:
-  using Items = std::list<WaitingItem>;
+  using Items = std::list<WaitingAttempt>;
   struct Position {
     size_t Rank;
     Items::iterator Item;
@@ -100,13 +101,13 @@
   /// The attempt of \p Rank to start next; the end of its list if none can
   /// start.
   Items::iterator nextOf(size_t Rank,
-                         const std::function<bool(const WaitingItem &)> &);
+                         const std::function<bool(const WaitingAttempt &)> &);
   /// Service that the application received at \p Rank, in seconds divided by
   /// its share.
   double servicePerShare(size_t Rank, const std::string &Application) const;
   /// Removes and returns the attempt.
-  WaitingItem take(Items::iterator It);
-  bool isTooLate(Time Now, const WaitingItem &Item) const;
+  WaitingAttempt take(Items::iterator It);
+  bool isTooLate(Time Now, const WaitingAttempt &Item) const;
 
   Options Opts;
   ShareTracker RankTracker;
--- a/scheduling/testing/scheduling_test.cc
+++ b/scheduling/testing/scheduling_test.cc
@@ -11,17 +11,17 @@
 
 Time at(int64_t Ms) { return Time(Duration(Ms * 1000)); }
 
-WaitingItem item(int Id, size_t Rank, const char *App = "app") {
-  WaitingItem I;
+WaitingAttempt item(int Id, size_t Rank, const char *App = "app") {
+  WaitingAttempt I;
   I.AttemptId = std::to_string(Id);
   I.Rank = Rank;
   I.Application = App;
   I.Target = at(100000 + Id);
-  I.Service = std::chrono::seconds(1);
+  I.ServiceTime = std::chrono::seconds(1);
   return I;
 }
 
-const auto Anything = [](const WaitingItem &) { return true; };
+const auto Anything = [](const WaitingAttempt &) { return true; };
 
 struct OverloadRow {
   const char *Name;
@@ -89,8 +89,8 @@
   CHECK_FALSE(Q.remove("2"));
   // Each attempt takes 1 s, so attempt 1 becomes too late 1 s before its
   // target.
-  CHECK(Q.takeHopeless(at(99001)).empty());
-  const auto Late = Q.takeHopeless(at(99002));
+  CHECK(Q.takeTooLate(at(99001)).empty());
+  const auto Late = Q.takeTooLate(at(99002));
   REQUIRE(Late.size() == 1);
   CHECK(Late[0].AttemptId == "1");
   CHECK(Q.size() == 1);
@@ -101,7 +101,7 @@
   Q.push(item(1, 0));
   Q.push(item(2, 1));
   const auto Picked = Q.pickNext(
-      at(0), [](const WaitingItem &I) { return I.AttemptId == "2"; });
+      at(0), [](const WaitingAttempt &I) { return I.AttemptId == "2"; });
   REQUIRE(Picked);
   CHECK(Picked->AttemptId == "2");
 }
--- a/side/actions.h
+++ b/side/actions.h
@@ -24,7 +24,7 @@
 };
 
 /// Send to the side beside the named upstream, which may be this side itself.
-struct TellSide {
+struct SendToSide {
   std::string Upstream;
   wire::Envelope Message;
 };
@@ -69,7 +69,7 @@
   std::string Line;
 };
 
-using Action = std::variant<Reply, TellSide, StartRun, CancelRun, LoadAdapter,
+using Action = std::variant<Reply, SendToSide, StartRun, CancelRun, LoadAdapter,
                             CheckUpstream, LogDecision>;
 using Actions = std::vector<Action>;
 
--- a/side/side_loads.cc
+++ b/side/side_loads.cc
@@ -19,30 +19,31 @@
 constexpr double EscalationShare = 0.25;
 } // namespace
 
-std::vector<LoadWant> SideMachine::loadWants(const Now &Now) const {
-  std::map<uint64_t, LoadWant> BySlot;
+std::vector<NeededLoad>
+SideStateMachine::loadWants(const CurrentTime &Now) const {
+  std::map<uint64_t, NeededLoad> BySlot;
   for (size_t Rank = 0; Rank < Queue->ranks(); ++Rank)
-    for (const WaitingItem &Item : Queue->waiting(Rank)) {
+    for (const WaitingAttempt &Item : Queue->waiting(Rank)) {
       if (Slots->find(Item.Slot))
         continue;
       const ActiveAttempt &Attempt = ActiveAttempts.at(Item.AttemptId);
       const auto [It, New] = BySlot.try_emplace(Item.Slot);
-      LoadWant &Want = It->second;
+      NeededLoad &Want = It->second;
       if (New)
         Want = {Item.Slot, Attempt.SlotKey, Rank, 0, 0, false};
       Want.Rank = std::min(Want.Rank, Rank);
       Want.Priority += Config->ranks()[Attempt.Rank].Worth;
       ++Want.Waiting;
       const double Waited = seconds(Now.Steady - Item.Arrived);
-      Want.Pressed |=
+      Want.Escalated |=
           Rank == 0 ||
           Waited > EscalationShare * seconds(Attempt.Target - Attempt.Arrived);
     }
-  std::vector<LoadWant> Out;
+  std::vector<NeededLoad> Out;
   for (auto &[Slot, Want] : BySlot)
     Out.push_back(std::move(Want));
   std::stable_sort(Out.begin(), Out.end(),
-                   [](const LoadWant &A, const LoadWant &B) {
+                   [](const NeededLoad &A, const NeededLoad &B) {
                      if (A.Rank != B.Rank)
                        return A.Rank < B.Rank;
                      return A.Priority > B.Priority;
@@ -52,14 +53,14 @@
 
 // Number of replaceable slots that loads for \p Rank leave to more urgent
 // ranks.
-size_t SideMachine::slotReserve(size_t Rank) const {
+size_t SideStateMachine::slotReserve(size_t Rank) const {
   if (!Opts.shareRanks() || Slots->slots().size() < MinSlotsForReserve)
     return 0;
   return std::min<size_t>(Rank, 2);
 }
 
-bool SideMachine::beginLoad(const Now &Now, const LoadWant &Want,
-                            Actions &Out) {
+bool SideStateMachine::beginLoad(const CurrentTime &Now, const NeededLoad &Want,
+                                 Actions &Out) {
   const auto Slot = Slots->victim(Now.Steady, Demand, slotReserve(Want.Rank));
   if (!Slot || Slots->find(Want.Adapter))
     return false;
@@ -76,37 +77,37 @@
   return true;
 }
 
-void SideMachine::planLoads(const Now &Now, Actions &Out) {
+void SideStateMachine::planLoads(const CurrentTime &Now, Actions &Out) {
   if (Down || Self.Kind != UpstreamKind::Engine)
     return;
-  std::vector<LoadWant> Wants = loadWants(Now);
+  std::vector<NeededLoad> Wants = loadWants(Now);
   if (!Opts.brokeredLoads()) {
-    for (const LoadWant &Want : Wants)
+    for (const NeededLoad &Want : Wants)
       beginLoad(Now, Want, Out);
     return;
   }
   // Permits are requested only for loads that a slot can be found for.
-  std::erase_if(Wants, [&](const LoadWant &Want) {
+  std::erase_if(Wants, [&](const NeededLoad &Want) {
     return !Slots->victim(Now.Steady, Demand, slotReserve(Want.Rank));
   });
-  for (const PermitAsk &Request : Planner->plan(Now.Steady, Wants)) {
-    TellSide Action{Request.Broker, envelope()};
+  for (const BrokerRequest &Request : Planner->plan(Now.Steady, Wants)) {
+    SendToSide Action{Request.Broker, envelope()};
     wire::LoadPermitRequest &Message = *Action.Message.mutable_permit_request();
     Message.set_side(Upstream);
-    Message.set_adapter(Request.What.Adapter);
-    Message.set_priority(Request.What.Priority);
-    Message.set_rank(static_cast<uint32_t>(Request.What.Rank));
-    Message.set_waiting(static_cast<uint32_t>(Request.What.Waiting));
-    Message.set_pressed(Request.What.Pressed);
+    Message.set_adapter(Request.Load.Adapter);
+    Message.set_priority(Request.Load.Priority);
+    Message.set_rank(static_cast<uint32_t>(Request.Load.Rank));
+    Message.set_waiting(static_cast<uint32_t>(Request.Load.Waiting));
+    Message.set_pressed(Request.Load.Escalated);
     Out.emplace_back(std::move(Action));
   }
-  if (!Wants.empty() && Planner->takeStatic(Now.Steady))
+  if (!Wants.empty() && Planner->takeFromStaticShare(Now.Steady))
     beginLoad(Now, Wants.front(), Out);
 }
 
-void SideMachine::onLoadDone(const Now &Now, size_t Slot,
-                             const std::string &Key, bool Loaded,
-                             Actions &Out) {
+void SideStateMachine::onLoadDone(const CurrentTime &Now, size_t Slot,
+                                  const std::string &Key, bool Loaded,
+                                  Actions &Out) {
   const auto &LoadingSlot = Slots->slots()[Slot];
   if (LoadingSlot.State != SlotState::Loading || LoadingSlot.Key != Key)
     return; // The engine crashed during the load.
@@ -114,7 +115,7 @@
   Slots->finishLoad(Slot, Loaded);
   Counters.LoadFailures += Loaded ? 0 : 1;
   for (size_t Rank = 0; Loaded && Rank < Queue->ranks(); ++Rank)
-    for (const WaitingItem &Item : Queue->waiting(Rank))
+    for (const WaitingAttempt &Item : Queue->waiting(Rank))
       if (Item.Slot == Hash) {
         double &Mean = LoadWaitSeconds[Rank];
         Mean += LoadWaitSmoothing * (seconds(Now.Steady - Item.Arrived) - Mean);
@@ -135,9 +136,10 @@
   planLoads(Now, Out);
 }
 
-void SideMachine::releasePermit(const std::string &BrokerName, uint64_t Adapter,
-                                bool Loaded, Actions &Out) {
-  TellSide Action{BrokerName, envelope()};
+void SideStateMachine::releasePermit(const std::string &BrokerName,
+                                     uint64_t Adapter, bool Loaded,
+                                     Actions &Out) {
+  SendToSide Action{BrokerName, envelope()};
   wire::LoadPermitRelease &Release = *Action.Message.mutable_permit_release();
   Release.set_side(Upstream);
   Release.set_adapter(Adapter);
@@ -145,16 +147,17 @@
   Out.emplace_back(std::move(Action));
 }
 
-void SideMachine::onPermitRequest(const Now &Now, const std::string &Peer,
-                                  const wire::LoadPermitRequest &Request,
-                                  Actions &Out) {
+void SideStateMachine::onPermitRequest(const CurrentTime &Now,
+                                       const std::string &Peer,
+                                       const wire::LoadPermitRequest &Request,
+                                       Actions &Out) {
   PermitPeers[Request.side()] = Peer;
-  PermitWish Pending;
+  PermitRequest Pending;
   Pending.Side = Request.side();
   Pending.Adapter = Request.adapter();
   Pending.Rank = Request.rank();
   Pending.Priority = Request.priority();
-  Pending.Pressed = Request.pressed();
+  Pending.Escalated = Request.pressed();
   Broker->request(Now.Steady, Pending);
   Reply Queued{Peer, envelope()};
   Queued.Message.mutable_permit_grant()->set_adapter(Request.adapter());
@@ -162,8 +165,8 @@
   grantPermits(Now, Out);
 }
 
-void SideMachine::grantPermits(const Now &Now, Actions &Out) {
-  for (const PermitWish &Pending : Broker->grant(Now.Steady)) {
+void SideStateMachine::grantPermits(const CurrentTime &Now, Actions &Out) {
+  for (const PermitRequest &Pending : Broker->grant(Now.Steady)) {
     Reply Action{PermitPeers[Pending.Side], envelope()};
     wire::LoadPermitGrant &Grant = *Action.Message.mutable_permit_grant();
     Grant.set_adapter(Pending.Adapter);
@@ -174,15 +177,16 @@
 
 // \p Peer is the upstream name of the broker's side, because grants arrive on
 // the connection that this side opened to the broker.
-void SideMachine::onPermitGrant(const Now &Now, const std::string &Peer,
-                                const wire::LoadPermitGrant &Grant,
-                                Actions &Out) {
+void SideStateMachine::onPermitGrant(const CurrentTime &Now,
+                                     const std::string &Peer,
+                                     const wire::LoadPermitGrant &Grant,
+                                     Actions &Out) {
   const bool Wanted =
       Planner->onAnswer(Now.Steady, Peer, Grant.adapter(), Grant.granted());
   if (!Grant.granted())
     return;
   if (Wanted)
-    for (const LoadWant &Want : loadWants(Now))
+    for (const NeededLoad &Want : loadWants(Now))
       if (Want.Adapter == Grant.adapter() && beginLoad(Now, Want, Out)) {
         LoadPermits[Grant.adapter()] = Peer;
         return;
--- a/side/side_machine.cc
+++ b/side/side_machine.cc
@@ -44,9 +44,9 @@
 
 } // namespace
 
-SideMachine::SideMachine(Options O,
-                         std::shared_ptr<const Declarations> InitialConfig,
-                         std::string UpstreamName, uint64_t ProcessIncarnation)
+SideStateMachine::SideStateMachine(
+    Options O, std::shared_ptr<const Declarations> InitialConfig,
+    std::string UpstreamName, uint64_t ProcessIncarnation)
     : Opts(O), Config(std::move(InitialConfig)),
       Upstream(std::move(UpstreamName)), Incarnation(ProcessIncarnation),
       Demand(DemandTable::Options().setRecency(O.evictByRecency())),
@@ -56,7 +56,7 @@
                  .setRetention(Config->policy().KeyRetention)
                  .setClockSkew(Config->policy().ClockSkew)),
       Suspects(SuspectTable::Options().setQuarantine(
-          Config->policy().QuarantineFor)),
+          Config->policy().QuarantineDuration)),
       Log(AttemptLog::Options()) {
   applyOwnDeclaration();
   buildQueue();
@@ -65,7 +65,7 @@
     Ledger.extendLease(Time::max());
 }
 
-void SideMachine::applyOwnDeclaration() {
+void SideStateMachine::applyOwnDeclaration() {
   const UpstreamDecl *Decl = Config->upstream(Upstream);
   Declared = Decl != nullptr;
   if (Decl)
@@ -76,7 +76,7 @@
     Slots.emplace(SlotCount);
 }
 
-void SideMachine::buildQueue() {
+void SideStateMachine::buildQueue() {
   const std::vector<double> Shares = rankShares(*Config);
   Queue.emplace(RankQueue::Options().setMaxWaiting(Opts.maxWaiting()), Shares,
                 appShares(*Config));
@@ -86,7 +86,7 @@
     Counters.Ranks[I].Rank = Config->ranks()[I].Name;
 }
 
-std::vector<std::string> SideMachine::brokerNames() const {
+std::vector<std::string> SideStateMachine::brokerNames() const {
   const auto Cell = Config->group(UpstreamKind::Engine, Self.Group, Self.Cell);
   std::vector<std::string> Out;
   for (const UpstreamDecl *U :
@@ -95,7 +95,7 @@
   return Out;
 }
 
-void SideMachine::buildLoads() {
+void SideStateMachine::buildLoads() {
   const StoreDecl &Store = Config->store();
   const size_t Sides =
       Config->group(UpstreamKind::Engine, Self.Group, Self.Cell).size();
@@ -113,9 +113,9 @@
 
 // Most new configurations change adapters only. The queue, the load requests
 // and the permits are then kept.
-void SideMachine::onConfig(const Now &Now,
-                           std::shared_ptr<const Declarations> NewConfig,
-                           Actions &Out) {
+void SideStateMachine::onConfig(const CurrentTime &Now,
+                                std::shared_ptr<const Declarations> NewConfig,
+                                Actions &Out) {
   assert(NewConfig->generation() >= Config->generation());
   const auto OldConfig = std::move(Config);
   const auto OldBrokers = Planner->brokers();
@@ -131,28 +131,28 @@
   startReady(Now, Out);
 }
 
-void SideMachine::requeue(const Now &Now, Actions &Out) {
-  std::vector<WaitingItem> Kept;
+void SideStateMachine::requeue(const CurrentTime &Now, Actions &Out) {
+  std::vector<WaitingAttempt> Kept;
   for (size_t I = 0; I < Queue->ranks(); ++I)
     Kept.insert(Kept.end(), Queue->waiting(I).begin(), Queue->waiting(I).end());
   buildQueue();
   for (auto &[Id, Attempt] : ActiveAttempts)
     Attempt.Rank =
         Config->rankIndex(Attempt.Request.rank()).value_or(Queue->ranks() - 1);
-  for (WaitingItem &Item : Kept) {
+  for (WaitingAttempt &Item : Kept) {
     Item.Rank = Opts.shareRanks() ? ActiveAttempts.at(Item.AttemptId).Rank : 0;
     if (!Queue->push(Item))
       refuseAttempt(Now, Item.AttemptId, Code::Overloaded, Out);
   }
 }
 
-wire::Envelope SideMachine::envelope() const {
+wire::Envelope SideStateMachine::envelope() const {
   wire::Envelope E;
   E.set_generation(Config->generation());
   return E;
 }
 
-void SideMachine::fillState(wire::SideState &State) const {
+void SideStateMachine::fillState(wire::SideState &State) const {
   State.set_upstream(Upstream);
   for (const Slot &EngineSlot : Slots->slots())
     if (EngineSlot.State != SlotState::Empty)
@@ -164,12 +164,13 @@
   State.set_incarnation(Incarnation);
 }
 
-void SideMachine::log(LineClass Class, std::string Line, Actions &Out) const {
+void SideStateMachine::log(LineClass Class, std::string Line,
+                           Actions &Out) const {
   Out.emplace_back(LogDecision{Class, std::move(Line)});
 }
 
-void SideMachine::sendEvent(const std::string &Id, wire::AttemptEvent Event,
-                            Actions &Out) {
+void SideStateMachine::sendEvent(const std::string &Id,
+                                 wire::AttemptEvent Event, Actions &Out) {
   const AttemptLog::Record *R = Log.find(Id);
   assert(R);
   if (Event.kind() != wire::AttemptEvent::DATA)
@@ -180,14 +181,16 @@
   Out.emplace_back(std::move(Action));
 }
 
-void SideMachine::broadcastToCell(const wire::Envelope &Message, Actions &Out) {
+void SideStateMachine::broadcastToCell(const wire::Envelope &Message,
+                                       Actions &Out) {
   for (const UpstreamDecl *U : Config->group(Self.Kind, Self.Group, Self.Cell))
     if (U->Name != Upstream)
-      Out.emplace_back(TellSide{U->Name, Message});
+      Out.emplace_back(SendToSide{U->Name, Message});
 }
 
-void SideMachine::onEnvelope(const Now &Now, const std::string &Peer,
-                             const wire::Envelope &Message, Actions &Out) {
+void SideStateMachine::onEnvelope(const CurrentTime &Now,
+                                  const std::string &Peer,
+                                  const wire::Envelope &Message, Actions &Out) {
   switch (Message.body_case()) {
   case wire::Envelope::kAttempt:
     return onAttempt(Now, Peer, Message.attempt(), Out);
@@ -212,7 +215,7 @@
   }
 }
 
-Duration SideMachine::expectedService(const wire::Attempt &Request) const {
+Duration SideStateMachine::expectedService(const wire::Attempt &Request) const {
   if (Self.Kind == UpstreamKind::Service)
     return fromSeconds(ServiceSeconds);
   const uint32_t Tokens =
@@ -220,7 +223,7 @@
   return fromSeconds(Tokens * TokenSeconds);
 }
 
-Duration SideMachine::expectedWait(size_t Rank, uint64_t SlotHash) const {
+Duration SideStateMachine::expectedWait(size_t Rank, uint64_t SlotHash) const {
   const auto Width = static_cast<size_t>(Self.MaxSequences);
   Duration Wait{};
   if (Runs.size() + Queue->size() >= Width)
@@ -231,10 +234,10 @@
   return Wait;
 }
 
-Code SideMachine::admissionProblem(const Now &Now,
-                                   const ActiveAttempt &Attempt) const {
+Code SideStateMachine::admissionProblem(const CurrentTime &Now,
+                                        const ActiveAttempt &Attempt) const {
   if (Draining)
-    return Code::Leaving;
+    return Code::Draining;
   if (Down)
     return Code::UpstreamDown;
   if (Queue->size() >= Opts.maxWaiting())
@@ -252,9 +255,10 @@
              : Code::None;
 }
 
-void SideMachine::sendRefusal(const Now &Now, const std::string &Peer,
-                              const wire::Attempt &Request, Code Reason,
-                              Outcome KnownOutcome, Actions &Out) {
+void SideStateMachine::sendRefusal(const CurrentTime &Now,
+                                   const std::string &Peer,
+                                   const wire::Attempt &Request, Code Reason,
+                                   Outcome KnownOutcome, Actions &Out) {
   ++Counters.Refused;
   Log.open(Request.attempt_id(), Peer);
   wire::AttemptEvent Event;
@@ -277,8 +281,8 @@
 
 // Claims the key of a call that must not be repeated. Returns true if the call
 // may run. Otherwise the attempt has been answered or joined to another one.
-bool SideMachine::claimKey(const Now &Now, const wire::Attempt &Request,
-                           Actions &Out) {
+bool SideStateMachine::claimKey(const CurrentTime &Now,
+                                const wire::Attempt &Request, Actions &Out) {
   const KeyDecision Decision =
       Ledger.claim(Now, {Request.key(), Request.key_issued_ms(),
                          Request.received_ms(), Request.fingerprint()});
@@ -324,9 +328,8 @@
   return false;
 }
 
-SideMachine::ActiveAttempt
-SideMachine::makeActiveAttempt(const Now &Now, const wire::Attempt &Request,
-                               size_t Rank) const {
+SideStateMachine::ActiveAttempt SideStateMachine::makeActiveAttempt(
+    const CurrentTime &Now, const wire::Attempt &Request, size_t Rank) const {
   ActiveAttempt Attempt;
   Attempt.Request = Request;
   Attempt.Rank = Rank;
@@ -346,9 +349,10 @@
 
 // If ranks are off, all items have rank 0 and equal targets, so the queue
 // starts them in order of arrival.
-WaitingItem SideMachine::waitingItem(const Now &Now,
-                                     const ActiveAttempt &Attempt) const {
-  WaitingItem Item;
+WaitingAttempt
+SideStateMachine::waitingItem(const CurrentTime &Now,
+                              const ActiveAttempt &Attempt) const {
+  WaitingAttempt Item;
   Item.AttemptId = Attempt.Request.attempt_id();
   Item.Slot = Attempt.SlotHash;
   Item.Rank = Opts.shareRanks() ? Attempt.Rank : 0;
@@ -357,13 +361,14 @@
   Item.Target =
       Opts.shareRanks() ? Attempt.Target : Now.Steady + UnrankedTarget;
   Item.Deadline = Attempt.Deadline;
-  Item.Service = Attempt.Service;
+  Item.ServiceTime = Attempt.Service;
   Item.Isolated = Attempt.Request.isolated();
   return Item;
 }
 
-void SideMachine::onAttempt(const Now &Now, const std::string &Peer,
-                            const wire::Attempt &Request, Actions &Out) {
+void SideStateMachine::onAttempt(const CurrentTime &Now,
+                                 const std::string &Peer,
+                                 const wire::Attempt &Request, Actions &Out) {
   if (Log.find(Request.attempt_id())) {
     wire::Resume Resume;
     Resume.set_attempt_id(Request.attempt_id());
@@ -413,9 +418,10 @@
   enqueue(Now, std::move(Attempt), Out);
 }
 
-void SideMachine::enqueue(const Now &Now, ActiveAttempt Attempt, Actions &Out) {
+void SideStateMachine::enqueue(const CurrentTime &Now, ActiveAttempt Attempt,
+                               Actions &Out) {
   const std::string Id = Attempt.Request.attempt_id();
-  const WaitingItem Item = waitingItem(Now, Attempt);
+  const WaitingAttempt Item = waitingItem(Now, Attempt);
   ActiveAttempts.insert_or_assign(Id, std::move(Attempt));
   if (!Queue->push(Item))
     return refuseAttempt(Now, Id, Code::Overloaded, Out);
@@ -429,8 +435,8 @@
   planLoads(Now, Out);
 }
 
-void SideMachine::onCancel(const Now &Now, const wire::Cancel &Cancel,
-                           Actions &Out) {
+void SideStateMachine::onCancel(const CurrentTime &Now,
+                                const wire::Cancel &Cancel, Actions &Out) {
   const std::string &Id = Cancel.attempt_id();
   const auto It = ActiveAttempts.find(Id);
   if (It == ActiveAttempts.end()) {
@@ -452,8 +458,8 @@
   startReady(Now, Out);
 }
 
-void SideMachine::onResume(const Now &Now, const std::string &Peer,
-                           const wire::Resume &Resume, Actions &Out) {
+void SideStateMachine::onResume(const CurrentTime &Now, const std::string &Peer,
+                                const wire::Resume &Resume, Actions &Out) {
   const std::string &Id = Resume.attempt_id();
   const AttemptLog::Record *Record = Log.find(Id);
   if (!Record) {
@@ -473,8 +479,8 @@
     }
 }
 
-void SideMachine::onProbe(const Now &Now, const std::string &Peer,
-                          const wire::Probe &Probe, Actions &Out) {
+void SideStateMachine::onProbe(const CurrentTime &Now, const std::string &Peer,
+                               const wire::Probe &Probe, Actions &Out) {
   Reply Action{Peer, envelope()};
   wire::ProbeReply &Answer = *Action.Message.mutable_probe_reply();
   Answer.set_probe_id(Probe.probe_id());
@@ -491,9 +497,9 @@
   Out.emplace_back(std::move(Action));
 }
 
-void SideMachine::onSuspectNotice(const Now &Now,
-                                  const wire::SuspectNotice &Notice,
-                                  Actions &Out) {
+void SideStateMachine::onSuspectNotice(const CurrentTime &Now,
+                                       const wire::SuspectNotice &Notice,
+                                       Actions &Out) {
   const std::vector<uint64_t> Fingerprints(Notice.fingerprints().begin(),
                                            Notice.fingerprints().end());
   if (!Notice.cleared()) {
@@ -506,7 +512,7 @@
 
 // Refuses waiting attempts that have become suspect. Copies of a request that
 // were sent before the crash would otherwise crash more upstreams.
-void SideMachine::refuseSuspects(const Now &Now, Actions &Out) {
+void SideStateMachine::refuseSuspects(const CurrentTime &Now, Actions &Out) {
   if (!Opts.isolateSuspects())
     return;
   std::vector<std::pair<std::string, Code>> Refused;
@@ -524,11 +530,11 @@
     refuseAttempt(Now, Id, Reason, Out);
 }
 
-void SideMachine::takeShard(const Now &Now, uint32_t Shard,
-                            uint64_t FencingNumber) {
+void SideStateMachine::takeShard(const CurrentTime &Now, uint32_t Shard,
+                                 uint64_t FencingNumber) {
   Ledger.takeShard(Shard, Now.Wall, FencingNumber);
 }
 
-void SideMachine::dropShard(uint32_t Shard) { Ledger.dropShard(Shard); }
+void SideStateMachine::dropShard(uint32_t Shard) { Ledger.dropShard(Shard); }
 
 } // namespace goldcrestlink::side
