--- a/side/side_machine.h
+++ b/side/side_machine.h
@@ -48,7 +48,7 @@
 
 /// Result of a health check of the upstream on a new connection.
 struct UpstreamStatus {
-  enum class Kind { Healthy, Refused, Silent } Is = Kind::Healthy;
+  enum class Kind { Healthy, Refused, Silent } Result = Kind::Healthy;
   /// Per slot of the engine, the "adapter@version" in it; empty if free.
   std::vector<std::string> SlotKeys;
 };
@@ -80,7 +80,7 @@
 };
 
 /// Not thread-safe: all calls on one thread.
-class SideMachine {
+class SideStateMachine {
 public:
   class Options {
   public:
@@ -156,41 +156,43 @@
   /// \p Upstream is the name of the upstream that the side controls; it may be
   /// declared later. \p Incarnation distinguishes this process from earlier
   /// ones of the side, so that crash ids are unique.
-  SideMachine(Options O, std::shared_ptr<const Declarations> Config,
-              std::string Upstream, uint64_t Incarnation);
+  SideStateMachine(Options O, std::shared_ptr<const Declarations> Config,
+                   std::string Upstream, uint64_t Incarnation);
 
   // Commands.
 
   /// Applies new declarations. Precondition: their generation is not older than
   /// generation().
-  void onConfig(const Now &Now, std::shared_ptr<const Declarations> Config,
-                Actions &Out);
+  void onConfig(const CurrentTime &Now,
+                std::shared_ptr<const Declarations> Config, Actions &Out);
   /// Handles a message from an entry or another side.
-  void onEnvelope(const Now &Now, const std::string &Peer,
+  void onEnvelope(const CurrentTime &Now, const std::string &Peer,
                   const wire::Envelope &Message, Actions &Out);
 
   // Progress of a call requested by StartRun. Ignored if the call has ended,
   // for example after CancelRun.
-  void onRunHead(const Now &Now, const std::string &AttemptId, unsigned Status,
-                 std::string_view ContentType, Actions &Out);
-  void onRunData(const Now &Now, const std::string &AttemptId,
+  void onRunHead(const CurrentTime &Now, const std::string &AttemptId,
+                 unsigned Status, std::string_view ContentType, Actions &Out);
+  void onRunData(const CurrentTime &Now, const std::string &AttemptId,
                  std::string_view Bytes, Actions &Out);
-  void onRunDone(const Now &Now, const std::string &AttemptId, Actions &Out);
-  void onRunError(const Now &Now, const std::string &AttemptId, RunError Error,
-                  Actions &Out);
+  void onRunDone(const CurrentTime &Now, const std::string &AttemptId,
+                 Actions &Out);
+  void onRunError(const CurrentTime &Now, const std::string &AttemptId,
+                  RunError Error, Actions &Out);
 
   /// The load of \p Key into \p Slot ended; \p Loaded is false if it failed.
-  void onLoadDone(const Now &Now, size_t Slot, const std::string &Key,
+  void onLoadDone(const CurrentTime &Now, size_t Slot, const std::string &Key,
                   bool Loaded, Actions &Out);
   /// Reports the result of CheckUpstream.
-  void onUpstreamCheck(const Now &Now, const UpstreamStatus &Status,
+  void onUpstreamCheck(const CurrentTime &Now, const UpstreamStatus &Status,
                        Actions &Out);
   /// To be called every few milliseconds.
-  void onTimer(const Now &Now, Actions &Out);
+  void onTimer(const CurrentTime &Now, Actions &Out);
 
   // Changes of the shard lease; see the functions of the same names of
   // KeyLedger.
-  void takeShard(const Now &Now, uint32_t Shard, uint64_t FencingNumber);
+  void takeShard(const CurrentTime &Now, uint32_t Shard,
+                 uint64_t FencingNumber);
   void dropShard(uint32_t Shard);
   void extendLease(Time Until) { Ledger.extendLease(Until); }
   void endLease() { Ledger.endLease(); }
@@ -257,60 +259,65 @@
   using ActiveAttemptMap = std::unordered_map<std::string, ActiveAttempt>;
 
   // Admission.
-  void onAttempt(const Now &Now, const std::string &Peer,
+  void onAttempt(const CurrentTime &Now, const std::string &Peer,
                  const wire::Attempt &Request, Actions &Out);
-  void onCancel(const Now &Now, const wire::Cancel &Cancel, Actions &Out);
-  void onResume(const Now &Now, const std::string &Peer,
+  void onCancel(const CurrentTime &Now, const wire::Cancel &Cancel,
+                Actions &Out);
+  void onResume(const CurrentTime &Now, const std::string &Peer,
                 const wire::Resume &Resume, Actions &Out);
-  void onProbe(const Now &Now, const std::string &Peer,
+  void onProbe(const CurrentTime &Now, const std::string &Peer,
                const wire::Probe &Probe, Actions &Out);
-  void onSuspectNotice(const Now &Now, const wire::SuspectNotice &Notice,
-                       Actions &Out);
-  void refuseSuspects(const Now &Now, Actions &Out);
-  Code admissionProblem(const Now &Now, const ActiveAttempt &Attempt) const;
-  bool claimKey(const Now &Now, const wire::Attempt &Request, Actions &Out);
-  ActiveAttempt makeActiveAttempt(const Now &Now, const wire::Attempt &Request,
+  void onSuspectNotice(const CurrentTime &Now,
+                       const wire::SuspectNotice &Notice, Actions &Out);
+  void refuseSuspects(const CurrentTime &Now, Actions &Out);
+  Code admissionProblem(const CurrentTime &Now,
+                        const ActiveAttempt &Attempt) const;
+  bool claimKey(const CurrentTime &Now, const wire::Attempt &Request,
+                Actions &Out);
+  ActiveAttempt makeActiveAttempt(const CurrentTime &Now,
+                                  const wire::Attempt &Request,
                                   size_t Rank) const;
-  WaitingItem waitingItem(const Now &Now, const ActiveAttempt &Attempt) const;
-  void enqueue(const Now &Now, ActiveAttempt Attempt, Actions &Out);
+  WaitingAttempt waitingItem(const CurrentTime &Now,
+                             const ActiveAttempt &Attempt) const;
+  void enqueue(const CurrentTime &Now, ActiveAttempt Attempt, Actions &Out);
   Duration expectedService(const wire::Attempt &Request) const;
   Duration expectedWait(size_t Rank, uint64_t SlotHash) const;
 
   // Runs.
-  void startReady(const Now &Now, Actions &Out);
-  bool canStart(const WaitingItem &Item) const;
-  void startRun(const Now &Now, const std::string &Id, Actions &Out);
-  void countStart(const Now &Now, const ActiveAttempt &Attempt);
+  void startReady(const CurrentTime &Now, Actions &Out);
+  bool canStart(const WaitingAttempt &Item) const;
+  void startRun(const CurrentTime &Now, const std::string &Id, Actions &Out);
+  void countStart(const CurrentTime &Now, const ActiveAttempt &Attempt);
   void endRun(const std::string &Id);
-  void finishAttempt(const Now &Now, const std::string &Id,
+  void finishAttempt(const CurrentTime &Now, const std::string &Id,
                      wire::AttemptEvent Last, Actions &Out);
-  void refuseAttempt(const Now &Now, const std::string &Id, Code Reason,
+  void refuseAttempt(const CurrentTime &Now, const std::string &Id, Code Reason,
                      Actions &Out);
-  void failAttempt(const Now &Now, const std::string &Id, Code Reason,
+  void failAttempt(const CurrentTime &Now, const std::string &Id, Code Reason,
                    Outcome KnownOutcome, bool Suspect, Actions &Out);
-  void updateServiceEstimate(const Now &Now, const Run &Ended,
+  void updateServiceEstimate(const CurrentTime &Now, const Run &Ended,
                              const ActiveAttempt &Attempt);
   void decayLoadWaits();
-  void expireWaiting(const Now &Now, Actions &Out);
-  void expireRunning(const Now &Now, Actions &Out);
+  void expireWaiting(const CurrentTime &Now, Actions &Out);
+  void expireRunning(const CurrentTime &Now, Actions &Out);
 
   // Health of the upstream.
-  void requestCheck(const Now &Now, Actions &Out);
-  void onCrash(const Now &Now, Actions &Out);
-  void failBrokenRuns(const Now &Now, Actions &Out);
+  void requestCheck(const CurrentTime &Now, Actions &Out);
+  void onCrash(const CurrentTime &Now, Actions &Out);
+  void failBrokenRuns(const CurrentTime &Now, Actions &Out);
   bool slotsMatch(const UpstreamStatus &Status) const;
   void importEngineSlots(const UpstreamStatus &Status);
 
   // Loads.
-  std::vector<LoadWant> loadWants(const Now &Now) const;
-  void planLoads(const Now &Now, Actions &Out);
-  bool beginLoad(const Now &Now, const LoadWant &Want, Actions &Out);
+  std::vector<NeededLoad> loadWants(const CurrentTime &Now) const;
+  void planLoads(const CurrentTime &Now, Actions &Out);
+  bool beginLoad(const CurrentTime &Now, const NeededLoad &Want, Actions &Out);
   size_t slotReserve(size_t Rank) const;
-  void onPermitRequest(const Now &Now, const std::string &Peer,
+  void onPermitRequest(const CurrentTime &Now, const std::string &Peer,
                        const wire::LoadPermitRequest &Request, Actions &Out);
-  void onPermitGrant(const Now &Now, const std::string &Peer,
+  void onPermitGrant(const CurrentTime &Now, const std::string &Peer,
                      const wire::LoadPermitGrant &Grant, Actions &Out);
-  void grantPermits(const Now &Now, Actions &Out);
+  void grantPermits(const CurrentTime &Now, Actions &Out);
   void releasePermit(const std::string &Broker, uint64_t Adapter, bool Loaded,
                      Actions &Out);
 
@@ -318,7 +325,7 @@
   wire::Envelope envelope() const;
   void fillState(wire::SideState &State) const;
   void sendEvent(const std::string &Id, wire::AttemptEvent Event, Actions &Out);
-  void sendRefusal(const Now &Now, const std::string &Peer,
+  void sendRefusal(const CurrentTime &Now, const std::string &Peer,
                    const wire::Attempt &Request, Code Reason,
                    Outcome KnownOutcome, Actions &Out);
   void broadcastToCell(const wire::Envelope &Message, Actions &Out);
@@ -327,7 +334,7 @@
   void applyOwnDeclaration();
   void buildQueue();
   void buildLoads();
-  void requeue(const Now &Now, Actions &Out);
+  void requeue(const CurrentTime &Now, Actions &Out);
   std::vector<std::string> brokerNames() const;
 
   Options Opts;
@@ -376,17 +383,19 @@
 /// Switches off one protection, so that a test can show that it is needed.
 /// For tests only.
 struct SideMutation {
-  static void dropIsolation(SideMachine::Options &O) {
+  static void disableIsolation(SideStateMachine::Options &O) {
     O.IsolateSuspects = false;
   }
-  static void dropPins(SideMachine::Options &O) { O.PinSlots = false; }
-  static void disableLeaseCheck(SideMachine::Options &O) {
+  static void disableSlotPinning(SideStateMachine::Options &O) {
+    O.PinSlots = false;
+  }
+  static void disableLeaseCheck(SideStateMachine::Options &O) {
     O.CheckLease = false;
   }
-  static void dropAnswerCheck(SideMachine::Options &O) {
+  static void disableAnswerCheck(SideStateMachine::Options &O) {
     O.CheckAnswers = false;
   }
-  static void dropBarrier(SideMachine::Options &O) {
+  static void disableOwnershipBarrier(SideStateMachine::Options &O) {
     KeyLedgerMutation::acceptOlderKeys(O.Ledger);
   }
 };
--- a/side/side_runs.cc
+++ b/side/side_runs.cc
@@ -29,7 +29,7 @@
 
 } // namespace
 
-bool SideMachine::canStart(const WaitingItem &Item) const {
+bool SideStateMachine::canStart(const WaitingAttempt &Item) const {
   if (Item.Isolated && !Runs.empty())
     return false;
   if (IsolatedRunning > 0)
@@ -42,29 +42,29 @@
   return Self.Kind == UpstreamKind::Service || Slots->ready(Item.Slot);
 }
 
-void SideMachine::startReady(const Now &Now, Actions &Out) {
+void SideStateMachine::startReady(const CurrentTime &Now, Actions &Out) {
   if (Down)
     return;
   // While a suspect waits and its adapter is ready, no other attempt starts. A
   // suspect needs an empty engine, and a busy engine would never become empty.
   bool SuspectReady = false;
   for (size_t I = 0; I < Queue->ranks(); ++I)
-    for (const WaitingItem &Item : Queue->waiting(I))
+    for (const WaitingAttempt &Item : Queue->waiting(I))
       SuspectReady |= Item.Isolated && Slots->ready(Item.Slot);
-  const auto Eligible = [&](const WaitingItem &Item) {
+  const auto Eligible = [&](const WaitingAttempt &Item) {
     return (!SuspectReady || Item.Isolated) && canStart(Item);
   };
   while (auto Item = Queue->pickNext(Now.Steady, Eligible))
     startRun(Now, Item->AttemptId, Out);
 }
 
-void SideMachine::startRun(const Now &Now, const std::string &Id,
-                           Actions &Out) {
+void SideStateMachine::startRun(const CurrentTime &Now, const std::string &Id,
+                                Actions &Out) {
   ActiveAttempt &Attempt = ActiveAttempts.at(Id);
   const wire::Attempt &Request = Attempt.Request;
   const bool Keyed = !Request.idempotent();
   if (Keyed && Opts.checkLease() && !Ledger.mayDispatch(Now, Request.key()))
-    return refuseAttempt(Now, Id, Code::LeaseLapsed, Out);
+    return refuseAttempt(Now, Id, Code::LeaseExpired, Out);
   Run NewRun;
   NewRun.Started = Now.Steady;
   NewRun.LastProgress = Now.Steady;
@@ -98,7 +98,8 @@
       Out);
 }
 
-void SideMachine::countStart(const Now &Now, const ActiveAttempt &Attempt) {
+void SideStateMachine::countStart(const CurrentTime &Now,
+                                  const ActiveAttempt &Attempt) {
   RankCounters &C = Counters.Ranks[Attempt.Rank];
   const auto Waited =
       static_cast<uint64_t>((Now.Steady - Attempt.Arrived).count());
@@ -109,7 +110,7 @@
   Counters.RunningAtStarts += Runs.size();
 }
 
-void SideMachine::endRun(const std::string &Id) {
+void SideStateMachine::endRun(const std::string &Id) {
   const auto It = Runs.find(Id);
   assert(It != Runs.end());
   const ActiveAttempt &Attempt = ActiveAttempts.at(Id);
@@ -124,9 +125,9 @@
   Runs.erase(It);
 }
 
-void SideMachine::onRunHead(const Now &Now, const std::string &Id,
-                            unsigned Status, std::string_view ContentType,
-                            Actions &Out) {
+void SideStateMachine::onRunHead(const CurrentTime &Now, const std::string &Id,
+                                 unsigned Status, std::string_view ContentType,
+                                 Actions &Out) {
   const auto It = Runs.find(Id);
   if (It == Runs.end())
     return;
@@ -145,8 +146,8 @@
   sendEvent(Id, std::move(Event), Out);
 }
 
-void SideMachine::onRunData(const Now &Now, const std::string &Id,
-                            std::string_view Bytes, Actions &Out) {
+void SideStateMachine::onRunData(const CurrentTime &Now, const std::string &Id,
+                                 std::string_view Bytes, Actions &Out) {
   const auto It = Runs.find(Id);
   if (It == Runs.end())
     return;
@@ -174,8 +175,9 @@
   sendEvent(Id, std::move(Event), Out);
 }
 
-void SideMachine::updateServiceEstimate(const Now &Now, const Run &Ended,
-                                        const ActiveAttempt &Attempt) {
+void SideStateMachine::updateServiceEstimate(const CurrentTime &Now,
+                                             const Run &Ended,
+                                             const ActiveAttempt &Attempt) {
   if (Self.Kind == UpstreamKind::Service) {
     ServiceSeconds =
         smooth(ServiceSeconds, seconds(Now.Steady - Ended.Started));
@@ -188,8 +190,8 @@
                                             static_cast<double>(Tokens));
 }
 
-void SideMachine::onRunDone(const Now &Now, const std::string &Id,
-                            Actions &Out) {
+void SideStateMachine::onRunDone(const CurrentTime &Now, const std::string &Id,
+                                 Actions &Out) {
   const auto It = Runs.find(Id);
   if (It == Runs.end())
     return;
@@ -240,8 +242,8 @@
   startReady(Now, Out);
 }
 
-void SideMachine::onRunError(const Now &Now, const std::string &Id,
-                             RunError Error, Actions &Out) {
+void SideStateMachine::onRunError(const CurrentTime &Now, const std::string &Id,
+                                  RunError Error, Actions &Out) {
   const auto It = Runs.find(Id);
   if (It == Runs.end())
     return;
@@ -259,7 +261,7 @@
   It->second.Broken = true;
 }
 
-void SideMachine::requestCheck(const Now &Now, Actions &Out) {
+void SideStateMachine::requestCheck(const CurrentTime &Now, Actions &Out) {
   if (CheckPending)
     return;
   CheckPending = true;
@@ -267,7 +269,7 @@
   Out.emplace_back(CheckUpstream{});
 }
 
-bool SideMachine::slotsMatch(const UpstreamStatus &Status) const {
+bool SideStateMachine::slotsMatch(const UpstreamStatus &Status) const {
   const auto &OwnSlots = Slots->slots();
   for (size_t I = 0; I < OwnSlots.size(); ++I) {
     const std::string EngineKey =
@@ -278,17 +280,19 @@
   return true;
 }
 
-void SideMachine::onUpstreamCheck(const Now &Now, const UpstreamStatus &Status,
-                                  Actions &Out) {
+void SideStateMachine::onUpstreamCheck(const CurrentTime &Now,
+                                       const UpstreamStatus &Status,
+                                       Actions &Out) {
   CheckPending = false;
   using Kind = UpstreamStatus::Kind;
-  const bool LostAdapters = Status.Is == Kind::Healthy && !slotsMatch(Status);
-  if (Status.Is == Kind::Refused || LostAdapters)
+  const bool LostAdapters =
+      Status.Result == Kind::Healthy && !slotsMatch(Status);
+  if (Status.Result == Kind::Refused || LostAdapters)
     onCrash(Now, Out);
   else
     failBrokenRuns(Now, Out);
   const bool WasDown = Down;
-  Down = Status.Is != Kind::Healthy;
+  Down = Status.Result != Kind::Healthy;
   NextCheck = Now.Steady + (Down ? Opts.checkWhenDown() : Opts.checkEvery());
   if (Down != WasDown)
     log(LineClass::Kept, std::string("upstream ") + (Down ? "down" : "up"),
@@ -301,7 +305,7 @@
 }
 
 // Records the adapters that a restarted engine reports in its slots.
-void SideMachine::importEngineSlots(const UpstreamStatus &Status) {
+void SideStateMachine::importEngineSlots(const UpstreamStatus &Status) {
   const size_t Count = std::min(Slots->slots().size(), Status.SlotKeys.size());
   for (size_t I = 0; I < Count; ++I) {
     const std::string &Key = Status.SlotKeys[I];
@@ -314,7 +318,7 @@
 }
 
 // Called when a check did not find a crash: only the broken runs failed.
-void SideMachine::failBrokenRuns(const Now &Now, Actions &Out) {
+void SideStateMachine::failBrokenRuns(const CurrentTime &Now, Actions &Out) {
   std::vector<std::string> Broken;
   for (const auto &[Id, R] : Runs)
     if (R.Broken)
@@ -325,7 +329,7 @@
   }
 }
 
-void SideMachine::onCrash(const Now &Now, Actions &Out) {
+void SideStateMachine::onCrash(const CurrentTime &Now, Actions &Out) {
   Slots->clear();
   LoadPermits.clear();
   LoadStarted.clear();
@@ -360,8 +364,9 @@
   refuseSuspects(Now, Out);
 }
 
-void SideMachine::finishAttempt(const Now &Now, const std::string &Id,
-                                wire::AttemptEvent Last, Actions &Out) {
+void SideStateMachine::finishAttempt(const CurrentTime &Now,
+                                     const std::string &Id,
+                                     wire::AttemptEvent Last, Actions &Out) {
   const auto It = ActiveAttempts.find(Id);
   assert(It != ActiveAttempts.end());
   const ActiveAttempt Attempt = std::move(It->second);
@@ -391,8 +396,9 @@
   Log.close(Now.Steady, Id);
 }
 
-void SideMachine::refuseAttempt(const Now &Now, const std::string &Id,
-                                Code Reason, Actions &Out) {
+void SideStateMachine::refuseAttempt(const CurrentTime &Now,
+                                     const std::string &Id, Code Reason,
+                                     Actions &Out) {
   ++Counters.Refused;
   Queue->remove(Id);
   const ActiveAttempt &Attempt = ActiveAttempts.at(Id);
@@ -411,9 +417,10 @@
   finishAttempt(Now, Id, std::move(Last), Out);
 }
 
-void SideMachine::failAttempt(const Now &Now, const std::string &Id,
-                              Code Reason, Outcome KnownOutcome, bool Suspect,
-                              Actions &Out) {
+void SideStateMachine::failAttempt(const CurrentTime &Now,
+                                   const std::string &Id, Code Reason,
+                                   Outcome KnownOutcome, bool Suspect,
+                                   Actions &Out) {
   ++Counters.Failed;
   wire::AttemptEvent Last;
   Last.set_kind(wire::AttemptEvent::FAILED);
@@ -428,14 +435,14 @@
 // Moves the expected load waits towards the baseline. Without this, estimates
 // from a past peak would cause refusals for ever: refused attempts cause no
 // loads, and without loads there are no new samples.
-void SideMachine::decayLoadWaits() {
+void SideStateMachine::decayLoadWaits() {
   for (double &Wait : LoadWaitSeconds)
     Wait += LoadWaitDecay * (BaselineLoadWaitSeconds - Wait);
 }
 
-void SideMachine::expireWaiting(const Now &Now, Actions &Out) {
+void SideStateMachine::expireWaiting(const CurrentTime &Now, Actions &Out) {
   if (Opts.shareRanks())
-    for (const WaitingItem &Item : Queue->takeHopeless(Now.Steady))
+    for (const WaitingAttempt &Item : Queue->takeTooLate(Now.Steady))
       refuseAttempt(Now, Item.AttemptId, Code::DeadlineUnreachable, Out);
   std::vector<std::string> Late;
   for (const auto &[Id, Attempt] : ActiveAttempts)
@@ -445,7 +452,7 @@
     refuseAttempt(Now, Id, Code::DeadlineExceeded, Out);
 }
 
-void SideMachine::expireRunning(const Now &Now, Actions &Out) {
+void SideStateMachine::expireRunning(const CurrentTime &Now, Actions &Out) {
   std::vector<std::string> Late;
   std::vector<std::string> Stalled;
   for (const auto &[Id, R] : Runs) {
@@ -469,7 +476,7 @@
   }
 }
 
-void SideMachine::onTimer(const Now &Now, Actions &Out) {
+void SideStateMachine::onTimer(const CurrentTime &Now, Actions &Out) {
   if (Now.Steady >= NextExpiry) {
     NextExpiry = Now.Steady + ExpiryInterval;
     Ledger.expire(Now);
--- a/side/testing/side_machine_test.cc
+++ b/side/testing/side_machine_test.cc
@@ -27,7 +27,7 @@
   return Declarations::parse({{"t.ini", ConfigText}}, Generation, Findings);
 }
 
-Now at(int64_t Ms) {
+CurrentTime at(int64_t Ms) {
   return {Time(std::chrono::milliseconds(100000 + Ms)),
           WallTime(std::chrono::milliseconds(100000 + Ms))};
 }
@@ -35,7 +35,7 @@
 // A state machine with helpers that send messages to it and inspect the actions
 // it requested.
 struct SideFixture {
-  explicit SideFixture(const char *Upstream, SideMachine::Options O = {})
+  explicit SideFixture(const char *Upstream, SideStateMachine::Options O = {})
       : Machine(O, config(), Upstream, 7) {}
 
   void sendAttempt(int64_t Ms, const std::string &Id, wire::Attempt A) {
@@ -92,7 +92,7 @@
   void grantPermits(int64_t Ms) {
     for (int Round = 0; Round < 3; ++Round)
       for (const Action &A : Actions(std::move(Out))) {
-        if (const auto *T = std::get_if<TellSide>(&A))
+        if (const auto *T = std::get_if<SendToSide>(&A))
           Machine.onEnvelope(at(Ms), "e", T->Message, Out);
         else if (const auto *R = std::get_if<Reply>(&A);
                  R && R->Message.has_permit_grant())
@@ -119,7 +119,7 @@
     return Found;
   }
 
-  SideMachine Machine;
+  SideStateMachine Machine;
   Actions Out;
 };
 
@@ -127,7 +127,7 @@
 
 TEST_CASE("a keyed call is not started after the shard lease has expired") {
   for (const bool LeaseChecked : {true, false}) {
-    SideMachine::Options O;
+    SideStateMachine::Options O;
     if (!LeaseChecked)
       SideMutation::disableLeaseCheck(O);
     SideFixture Side("s", O);
--- a/side/upstream_client.cc
+++ b/side/upstream_client.cc
@@ -24,12 +24,13 @@
                                 http::CallError Error) {
   UpstreamStatus Out;
   if (!Answer) {
-    Out.Is = Error == http::CallError::Silent ? UpstreamStatus::Kind::Silent
-                                              : UpstreamStatus::Kind::Refused;
+    Out.Result = Error == http::CallError::Silent
+                     ? UpstreamStatus::Kind::Silent
+                     : UpstreamStatus::Kind::Refused;
     return Out;
   }
   if (Answer->Head.Status != 200) {
-    Out.Is = UpstreamStatus::Kind::Silent;
+    Out.Result = UpstreamStatus::Kind::Silent;
     return Out;
   }
   const auto Json = nlohmann::json::parse(Answer->Body, nullptr, false);
--- a/soak/callers.cc
+++ b/soak/callers.cc
@@ -68,7 +68,7 @@
     Thread.join();
   }
 
-  static Time now() { return presentTime().Steady; }
+  static Time now() { return currentTime().Steady; }
 
   void sendDueCalls() {
     CallsDue += Opts.rate() * RateFactor *
--- a/soak/promise_oracle.cc
+++ b/soak/promise_oracle.cc
@@ -210,11 +210,11 @@
                  "runs after it was refused as not run");
   if (!Bounds.Timed)
     return;
-  if (Observed.Leaving > Bounds.Drain &&
+  if (Observed.Draining > Bounds.Drain &&
       undisturbedSince(Observed.At - Bounds.Drain))
     addViolation("DRAIN", Record.Sent.Id,
                  "at " + Observed.Upstream + ", draining or removed for ms=" +
-                     std::to_string(Observed.Leaving.count() / 1000));
+                     std::to_string(Observed.Draining.count() / 1000));
   if (Observed.Outdated > Bounds.Version &&
       undisturbedSince(Observed.At - Bounds.Version))
     addViolation("VERSION", Record.Sent.Id,
@@ -251,7 +251,7 @@
   // Longer than the bound on disconnects, shorter than the streams whose
   // callers disconnect.
   constexpr Duration MaxRunAfterDisconnect = std::chrono::milliseconds(1500);
-  if (Bounds.Timed && End == RunEnd::Whole && Record.DisconnectedAt &&
+  if (Bounds.Timed && End == RunEnd::Complete && Record.DisconnectedAt &&
       Now - *Record.DisconnectedAt > MaxRunAfterDisconnect &&
       undisturbedSince(Record.SentAt))
     addViolation(
--- a/soak/promise_oracle.h
+++ b/soak/promise_oracle.h
@@ -89,7 +89,7 @@
   void onSent(Time Now, SentCall Call);
   void onAnswer(Time Now, const std::string &Id, const ObservedAnswer &Answer);
 
-  void onRun(const testing::RunSeen &Observed) override;
+  void onRun(const testing::RunRecord &Observed) override;
   void onRunEnd(Time Now, const std::string &RequestId,
                 const std::string &Upstream, testing::RunEnd End) override;
   void onViolation(const std::string &Upstream,
@@ -151,7 +151,7 @@
   void checkUnfinished(Time Now, const CallRecord &Record,
                        const ObservedAnswer &Answer);
   void checkStream(const CallRecord &Record, const ObservedAnswer &Answer);
-  void checkRun(const CallRecord &Record, const testing::RunSeen &Observed);
+  void checkRun(const CallRecord &Record, const testing::RunRecord &Observed);
   void checkAttempts(const CallRecord &Record);
   void checkRetryBudget();
   bool undisturbedSince(Time From) const {
--- a/soak/schedule.cc
+++ b/soak/schedule.cc
@@ -144,7 +144,7 @@
   void upstreamFault(Duration Begin, size_t Target) {
     const size_t Upstream = Target % Shape.upstreams();
     add(Begin, Action::UpstreamFaulty, Upstream,
-        between(1, static_cast<int>(testing::UpstreamFault::Torn)));
+        between(1, static_cast<int>(testing::UpstreamFault::Truncated)));
     add(randomEnd(Begin), Action::UpstreamHealed, Upstream);
   }
   void drainOrRemove(Duration Begin, size_t Target) {
@@ -154,7 +154,7 @@
   }
   void storeFault(Duration Begin, size_t) {
     add(Begin, Action::StoreFaulty, 0,
-        between(1, static_cast<int>(testing::StoreFault::Torn)));
+        between(1, static_cast<int>(testing::StoreFault::Truncated)));
     add(randomEnd(Begin), Action::StoreHealed);
   }
   void dropHistory(Duration Begin, size_t) { add(Begin, Action::DropHistory); }
--- a/soak/soak.cc
+++ b/soak/soak.cc
@@ -85,7 +85,7 @@
     return Out;
   }
 
-  static Time now() { return presentTime().Steady; }
+  static Time now() { return currentTime().Steady; }
 
   // A step that is not possible yet is retried after RetryStepDelayMs, behind
   // the steps that are due by then.
--- a/soak/testing/soak_test.cc
+++ b/soak/testing/soak_test.cc
@@ -214,7 +214,7 @@
      [](History &H) {
        H.sent(CallKind::Read);
        RunSeen R = H.run();
-       R.Leaving = milliseconds(2100);
+       R.Draining = milliseconds(2100);
        H.Oracle.onRun(R);
        H.answered(H.refusal(502));
      }},
@@ -222,7 +222,7 @@
      [](History &H) {
        H.sent(CallKind::Read);
        RunSeen R = H.run();
-       R.Leaving = milliseconds(1900);
+       R.Draining = milliseconds(1900);
        H.Oracle.onRun(R);
        H.answered(H.refusal(502));
      }},
@@ -270,7 +270,7 @@
        H.Oracle.onRun(H.run());
        H.answered(
            {CallEnd::CallerDisconnected, 200, "r1", "seal-u", false, ""});
-       H.Oracle.onRunEnd(at(3000), "r1", "u", RunEnd::Whole);
+       H.Oracle.onRunEnd(at(3000), "r1", "u", RunEnd::Complete);
      }},
     {"run ended soon after its caller disconnected", "",
      [](History &H) {
@@ -446,10 +446,10 @@
     CHECK(RunUntilEnded(Outcome) == 200);
   }
   Proxy.setFault(Link, LinkFault::Delayed);
-  const Time Start = presentTime().Steady;
+  const Time Start = currentTime().Steady;
   Kept = StartCall(Outcome);
   CHECK(RunUntilEnded(Outcome) == 200);
-  CHECK(presentTime().Steady - Start >=
+  CHECK(currentTime().Steady - Start >=
         milliseconds(2 * LoopbackProxy::DelayMs));
   Proxy.setFault(Link, LinkFault::HeldBackward);
   Kept = StartCall(Outcome);
--- a/standins/store.cc
+++ b/standins/store.cc
@@ -53,7 +53,7 @@
   }
 
   void sendWaiting() {
-    const Time Now = presentTime().Steady;
+    const Time Now = currentTime().Steady;
     while (!WaitingFetches.empty() && Bucket.take(Now)) {
       send(std::move(WaitingFetches.front()));
       WaitingFetches.pop_front();
--- a/testing/fleet.cc
+++ b/testing/fleet.cc
@@ -33,7 +33,8 @@
 
 } // namespace
 
-Fleet::Fleet(FleetShape InShape, std::string InPrograms, std::string InWork)
+TestDeployment::TestDeployment(DeploymentOptions InShape,
+                               std::string InPrograms, std::string InWork)
     : Shape(std::move(InShape)), Programs(std::move(InPrograms)),
       Work(std::move(InWork)) {
   std::filesystem::remove_all(Work);
@@ -41,8 +42,8 @@
   plan();
 }
 
-Member Fleet::makeMember(const std::string &Name) {
-  Member M;
+ManagedProcess TestDeployment::makeMember(const std::string &Name) {
+  ManagedProcess M;
   M.Name = Name;
   M.Http = freeEndpoint();
   M.Admin = freeEndpoint();
@@ -50,7 +51,7 @@
   return M;
 }
 
-void Fleet::plan() {
+void TestDeployment::plan() {
   Platform = makeMember("platform");
   Platform.Command = {Programs + "/standin_platform", "--listen",
                       Platform.Http.text()};
@@ -65,7 +66,7 @@
                    "--in-flight",
                    std::to_string(Shape.StoreInFlight)};
   for (size_t I = 0; I < Shape.Engines; ++I) {
-    Member M = makeMember("engine-" + std::to_string(I + 1));
+    ManagedProcess M = makeMember("engine-" + std::to_string(I + 1));
     M.Command = {Programs + "/standin_engine",
                  "--listen",
                  M.Http.text(),
@@ -90,7 +91,7 @@
     Engines.push_back(std::move(M));
   }
   for (size_t I = 0; I < Shape.Services; ++I) {
-    Member M = makeMember("ledger-" + std::to_string(I + 1));
+    ManagedProcess M = makeMember("ledger-" + std::to_string(I + 1));
     M.Command = {Programs + "/standin_service", "--listen", M.Http.text()};
     if (Shape.ServicesCheckFencing)
       M.Command.push_back("--checks-fencing");
@@ -100,7 +101,7 @@
   planSides(EngineSides, Engines, "side-");
   planSides(ServiceSides, Services, "side-");
   for (size_t I = 0; I < Shape.Entries; ++I) {
-    Member M = makeMember("entry-" + std::to_string(I + 1));
+    ManagedProcess M = makeMember("entry-" + std::to_string(I + 1));
     M.Command = {Programs + "/goldcrestlinkd", "--settings",
                  Work + "/" + M.Name + ".ini"};
     Entries.push_back(std::move(M));
@@ -117,17 +118,17 @@
   Relay = makeMember("relay");
   Relay.Command = {Programs + "/standin_relay", "--admin", Relay.Admin.text()};
   for (auto *Sides : {&EngineSides, &ServiceSides})
-    for (Member &M : *Sides) {
+    for (ManagedProcess &M : *Sides) {
       const http::Endpoint Listen = M.Admin;
       Relay.Command.push_back(M.Wire.text() + "=" + Listen.text());
     }
 }
 
-void Fleet::planSides(std::vector<Member> &Sides,
-                      const std::vector<Member> &Upstreams,
-                      const char *Prefix) {
-  for (const Member &Upstream : Upstreams) {
-    Member M = makeMember(Prefix + Upstream.Name);
+void TestDeployment::planSides(std::vector<ManagedProcess> &Sides,
+                               const std::vector<ManagedProcess> &Upstreams,
+                               const char *Prefix) {
+  for (const ManagedProcess &Upstream : Upstreams) {
+    ManagedProcess M = makeMember(Prefix + Upstream.Name);
     M.Command = {Programs + "/goldcrestlinkd", "--settings",
                  Work + "/" + M.Name + ".ini"};
     // With a relay, the declared address belongs to the relay, and the side
@@ -140,11 +141,11 @@
   }
 }
 
-std::string Fleet::settingsText(const Member &Target,
-                                const std::string &Role) const {
+std::string TestDeployment::settingsText(const ManagedProcess &Target,
+                                         const std::string &Role) const {
   std::string Peers;
   for (const auto *Sides : {&EngineSides, &ServiceSides})
-    for (const Member &Side : *Sides)
+    for (const ManagedProcess &Side : *Sides)
       if (Side.Name != Target.Name)
         Peers += " " + Side.Wire.text();
   std::string Text =
@@ -161,11 +162,12 @@
   return Text;
 }
 
-void Fleet::writeFile(const std::string &Path, const std::string &Text) const {
+void TestDeployment::writeFile(const std::string &Path,
+                               const std::string &Text) const {
   std::ofstream(Path, std::ios::binary) << Text;
 }
 
-void Fleet::writeDeclarations() {
+void TestDeployment::writeDeclarations() {
   std::ostringstream Base;
   Base << "[policy]\nlease_ms = " << Shape.LeaseMs
        << "\nclock_skew_ms = " << Shape.ClockSkewMs << "\n[store]\n"
@@ -184,8 +186,9 @@
           "rank = standard\n"
           "[route /records]\nservice = ledger\nidempotent = yes\n"
           "rank = standard\n";
-  const auto Upstream = [&](const char *Kind, const Member &M,
-                            const Member &Side, const std::string &More) {
+  const auto Upstream = [&](const char *Kind, const ManagedProcess &M,
+                            const ManagedProcess &Side,
+                            const std::string &More) {
     Base << "[" << Kind << " " << M.Name
          << "]\ndata_center = dc-1\ncell = " << Cell
          << "\nside = " << Side.Wire.text() << "\naddress = " << M.Http.text()
@@ -209,30 +212,32 @@
   writeFile(Work + "/declarations/adapters.ini", Adapters.str());
 }
 
-int Fleet::tool(const std::vector<std::string> &Arguments) {
+int TestDeployment::tool(const std::vector<std::string> &Arguments) {
   std::vector<std::string> Command = {Programs + "/goldcrestlink"};
   Command.insert(Command.end(), Arguments.begin(), Arguments.end());
   return Process(Command, Work + "/tool.log").wait();
 }
 
-int Fleet::apply() {
+int TestDeployment::apply() {
   writeDeclarations();
   return tool(
       {"apply", Work + "/declarations", "--platform", Platform.Http.text()});
 }
 
-void Fleet::launch(Member &Target) {
-  Target.Running = std::make_unique<Process>(Target.Command,
-                                             Work + "/" + Target.Name + ".log");
+void TestDeployment::launch(ManagedProcess &Target) {
+  Target.Child = std::make_unique<Process>(Target.Command,
+                                           Work + "/" + Target.Name + ".log");
 }
 
-void Fleet::restart(Member &Target) {
-  Target.Running.reset();
+void TestDeployment::restart(ManagedProcess &Target) {
+  Target.Child.reset();
   launch(Target);
 }
 
-std::string Fleet::admin(const http::Endpoint &To, const std::string &Target,
-                         const std::string &Method, const std::string &Body) {
+std::string TestDeployment::admin(const http::Endpoint &To,
+                                  const std::string &Target,
+                                  const std::string &Method,
+                                  const std::string &Body) {
   http::Request R;
   R.Method = Method;
   R.Target = Target;
@@ -240,12 +245,12 @@
   return fetchBody(To, std::move(R));
 }
 
-void Fleet::start() {
+void TestDeployment::start() {
   launch(Platform);
   if (Shape.UseStore)
     launch(Store);
   for (auto *Group : {&Engines, &Services})
-    for (Member &M : *Group)
+    for (ManagedProcess &M : *Group)
       launch(M);
   if (Shape.Relay)
     launch(Relay);
@@ -257,10 +262,10 @@
   setInstances({});
   Started = Started && apply() == 0;
   for (auto *Group : {&EngineSides, &ServiceSides, &Entries})
-    for (Member &M : *Group)
+    for (ManagedProcess &M : *Group)
       launch(M);
   Started =
-      Started && eventually([&] { return generationInForce(1); }, StartSeconds);
+      Started && eventually([&] { return allHaveGeneration(1); }, StartSeconds);
   // All shards of the service's keys have an owner.
   const auto Served = [&] {
     http::Request R;
@@ -275,14 +280,14 @@
         "the deployment did not start in time; see the logs in " + Work);
 }
 
-bool Fleet::generationInForce(uint64_t Generation) {
+bool TestDeployment::allHaveGeneration(uint64_t Generation) {
   const std::string AtEntry = "generation " + std::to_string(Generation) + "\n";
   const std::string AtSide = "} " + std::to_string(Generation) + "\n";
-  for (const Member &M : Entries)
+  for (const ManagedProcess &M : Entries)
     if (admin(M.Http, "/status", "GET").rfind(AtEntry, 0) != 0)
       return false;
   for (const auto *Group : {&EngineSides, &ServiceSides})
-    for (const Member &M : *Group) {
+    for (const ManagedProcess &M : *Group) {
       const std::string Text = admin(M.Http, "/status", "GET");
       const size_t End = Text.find('\n');
       if (End == std::string::npos ||
@@ -292,9 +297,9 @@
   return true;
 }
 
-uint64_t Fleet::engineCount(const std::string &Name) {
+uint64_t TestDeployment::sumEngineCounter(const std::string &Name) {
   uint64_t Sum = 0;
-  for (const Member &M : Engines) {
+  for (const ManagedProcess &M : Engines) {
     std::istringstream Lines(admin(M.Admin, "/admin/counts", "GET"));
     std::string Key;
     uint64_t Value = 0;
@@ -304,9 +309,10 @@
   return Sum;
 }
 
-std::vector<std::string> Fleet::runs(const std::vector<Member> &Upstreams) {
+std::vector<std::string>
+TestDeployment::runs(const std::vector<ManagedProcess> &Upstreams) {
   std::vector<std::string> Out;
-  for (const Member &M : Upstreams) {
+  for (const ManagedProcess &M : Upstreams) {
     std::istringstream Lines(admin(M.Admin, "/admin/runs", "GET"));
     for (std::string Line; std::getline(Lines, Line);)
       Out.push_back(Line);
@@ -314,15 +320,15 @@
   return Out;
 }
 
-void Fleet::setInstances(const std::vector<std::string> &Draining,
-                         const std::vector<std::string> &Gone) {
+void TestDeployment::setInstances(const std::vector<std::string> &Draining,
+                                  const std::vector<std::string> &Gone) {
   const auto Contains = [](const std::vector<std::string> &List,
                            const std::string &Name) {
     return std::find(List.begin(), List.end(), Name) != List.end();
   };
   std::string Json;
   for (const auto *Group : {&Engines, &Services})
-    for (const Member &M : *Group)
+    for (const ManagedProcess &M : *Group)
       if (!Contains(Gone, M.Name))
         Json += std::string(Json.empty() ? "" : ",") + "{\"name\":\"" + M.Name +
                 "\",\"state\":\"" +
@@ -330,14 +336,14 @@
   admin(Platform.Http, "/admin/instances", "PUT", "[" + Json + "]");
 }
 
-bool Fleet::stopGracefully() {
+bool TestDeployment::stopGracefully() {
   bool Clean = true;
   for (auto *Group : {&Entries, &EngineSides, &ServiceSides}) {
-    for (Member &M : *Group)
-      if (M.Running)
-        M.Running->signal(SIGTERM);
-    for (Member &M : *Group)
-      Clean &= !M.Running || M.Running->wait() == 0;
+    for (ManagedProcess &M : *Group)
+      if (M.Child)
+        M.Child->signal(SIGTERM);
+    for (ManagedProcess &M : *Group)
+      Clean &= !M.Child || M.Child->wait() == 0;
   }
   return Clean;
 }
--- a/testing/fleet.h
+++ b/testing/fleet.h
@@ -18,7 +18,7 @@
 namespace goldcrestlink::testing {
 
 /// The size and settings of a deployment. The defaults suit small tests.
-struct FleetShape {
+struct DeploymentOptions {
   size_t Engines = 2;
   size_t Services = 2;
   size_t Entries = 2;
@@ -53,10 +53,10 @@
 };
 
 /// One process of a deployment and the addresses that it listens on.
-struct Member {
+struct ManagedProcess {
   std::string Name;
   std::vector<std::string> Command;
-  std::unique_ptr<Process> Running;
+  std::unique_ptr<Process> Child;
   http::Endpoint Http;
   /// For a stand-in: the address for admin requests. For a side behind a relay:
   /// the address on which it listens for the relay.
@@ -66,16 +66,17 @@
 };
 
 /// Not thread-safe. The destructor kills the processes that still run.
-class Fleet {
+class TestDeployment {
 public:
   /// \p Programs is the folder of the built programs. \p Work is a folder for
   /// settings, declarations and logs; it is emptied first.
-  Fleet(FleetShape Shape, std::string Programs, std::string Work);
+  TestDeployment(DeploymentOptions Shape, std::string Programs,
+                 std::string Work);
   /// Starts all processes and waits until a request is served. Throws
   /// std::runtime_error if a step of the start times out.
   void start();
   /// Starts a process again; kills it first if it still runs.
-  void restart(Member &Target);
+  void restart(ManagedProcess &Target);
   /// Writes the declarations and applies them. Returns the exit code of the
   /// command-line tool.
   int apply();
@@ -83,11 +84,11 @@
   /// appended to tool.log.
   int tool(const std::vector<std::string> &Arguments);
   /// True if every entry and side has this generation of the declarations.
-  bool generationInForce(uint64_t Generation);
+  bool allHaveGeneration(uint64_t Generation);
   /// The sum of a counter over all engines, from their /admin/counts pages.
-  uint64_t engineCount(const std::string &Name);
+  uint64_t sumEngineCounter(const std::string &Name);
   /// The lines of the /admin/runs pages of these engines or services.
-  std::vector<std::string> runs(const std::vector<Member> &Upstreams);
+  std::vector<std::string> runs(const std::vector<ManagedProcess> &Upstreams);
   /// Replaces the platform's list of instances. Engines and services in
   /// \p Draining are listed as leaving, those in \p Gone are not listed, and
   /// all others are listed as live.
@@ -102,26 +103,28 @@
   /// exit. True if every exit code is 0.
   bool stopGracefully();
 
-  FleetShape Shape;
-  Member Platform;
-  Member Store;
-  Member Relay;
-  std::vector<Member> Engines;
-  std::vector<Member> Services;
-  std::vector<Member> EngineSides;
-  std::vector<Member> ServiceSides;
-  std::vector<Member> Entries;
+  DeploymentOptions Shape;
+  ManagedProcess Platform;
+  ManagedProcess Store;
+  ManagedProcess Relay;
+  std::vector<ManagedProcess> Engines;
+  std::vector<ManagedProcess> Services;
+  std::vector<ManagedProcess> EngineSides;
+  std::vector<ManagedProcess> ServiceSides;
+  std::vector<ManagedProcess> Entries;
   std::string Declarations;
 
 private:
   void plan();
-  void planSides(std::vector<Member> &Sides,
-                 const std::vector<Member> &Upstreams, const char *Prefix);
-  Member makeMember(const std::string &Name);
-  std::string settingsText(const Member &Target, const std::string &Role) const;
+  void planSides(std::vector<ManagedProcess> &Sides,
+                 const std::vector<ManagedProcess> &Upstreams,
+                 const char *Prefix);
+  ManagedProcess makeMember(const std::string &Name);
+  std::string settingsText(const ManagedProcess &Target,
+                           const std::string &Role) const;
   void writeFile(const std::string &Path, const std::string &Text) const;
   void writeDeclarations();
-  void launch(Member &Target);
+  void launch(ManagedProcess &Target);
 
   std::string Programs;
   std::string Work;
--- a/testing/platform_standin.cc
+++ b/testing/platform_standin.cc
@@ -139,7 +139,7 @@
 
 void PlatformStandIn::drain(const std::string &Name) {
   onThread([&] {
-    Impl->at(Name).setDraining(presentTime().Steady);
+    Impl->at(Name).setDraining(currentTime().Steady);
     Impl->writeRecord(Impl->at(Name));
   });
 }
@@ -153,7 +153,7 @@
 
 void PlatformStandIn::remove(const std::string &Name) {
   onThread([&] {
-    Impl->at(Name).setDraining(presentTime().Steady);
+    Impl->at(Name).setDraining(currentTime().Steady);
     Impl->Store.erase("servers", Impl->at(Name).spec().Id);
   });
 }
@@ -199,7 +199,7 @@
 
 void PlatformStandIn::release(const std::string &Adapter, int Version) {
   onThread([&] {
-    Impl->Common.Releases[Adapter] = {Version, presentTime().Steady};
+    Impl->Common.Releases[Adapter] = {Version, currentTime().Steady};
     Impl->Store.put(
         "versions", "m." + Adapter,
         {{"model", "m"}, {"adapter", Adapter}, {"version", Version}});
--- a/testing/process_test.cc
+++ b/testing/process_test.cc
@@ -93,7 +93,8 @@
 // Callers that send requests until stop(), and check their answers.
 class Callers {
 public:
-  Callers(Fleet &InDeployment, size_t Count) : Deployment(InDeployment) {
+  Callers(TestDeployment &InDeployment, size_t Count)
+      : Deployment(InDeployment) {
     for (size_t I = 0; I < Count; ++I)
       Threads.emplace_back([this, I] { run(I); });
   }
@@ -145,7 +146,7 @@
     Problems.push_back(std::move(Problem));
   }
 
-  Fleet &Deployment;
+  TestDeployment &Deployment;
   std::atomic<bool> Stopping{false};
   std::atomic<size_t> Answered{0};
   std::mutex Mutex;
@@ -153,8 +154,8 @@
   std::vector<std::thread> Threads;
 };
 
-FleetShape quickShape() {
-  FleetShape S;
+DeploymentOptions quickShape() {
+  DeploymentOptions S;
   S.Engines = 3;
   S.Services = 2;
   S.UseStore = false;
@@ -168,31 +169,31 @@
 
 TEST_CASE(
     "callers get their own complete answers across an update and shutdowns") {
-  Fleet Deployment(quickShape(), ".", workFolder("whole"));
+  TestDeployment Deployment(quickShape(), ".", workFolder("whole"));
   Deployment.start();
   Callers Traffic(Deployment, 12);
   CHECK(eventually([&] { return Traffic.answered() > 200; }, MaxWaitSeconds));
   Deployment.Shape.Versions = "1 2 3";
   CHECK(Deployment.apply() == 0);
-  CHECK(eventually([&] { return Deployment.generationInForce(2); },
+  CHECK(eventually([&] { return Deployment.allHaveGeneration(2); },
                    MaxWaitSeconds));
   CHECK(post(Deployment.Entries[1].Http, "/v1/completions",
              completionBody("a1@3", "new", 2, false))
             .Head.Status == 200);
   // One side and one entry shut down gracefully under load.
   const size_t Before = Traffic.answered();
-  Deployment.EngineSides[0].Running->signal(SIGTERM);
-  CHECK(Deployment.EngineSides[0].Running->wait() == 0);
+  Deployment.EngineSides[0].Child->signal(SIGTERM);
+  CHECK(Deployment.EngineSides[0].Child->wait() == 0);
   Traffic.EntriesInUse = 1;
-  Deployment.Entries[1].Running->signal(SIGTERM);
-  CHECK(Deployment.Entries[1].Running->wait() == 0);
+  Deployment.Entries[1].Child->signal(SIGTERM);
+  CHECK(Deployment.Entries[1].Child->wait() == 0);
   CHECK(eventually([&] { return Traffic.answered() > Before + 100; },
                    MaxWaitSeconds));
   Traffic.stop();
   for (const std::string &P : Traffic.problems())
     FAIL_CHECK(P);
   CHECK(Deployment.stopGracefully());
-  CHECK(Deployment.engineCount("violations") == 0);
+  CHECK(Deployment.sumEngineCounter("violations") == 0);
 }
 
 namespace {
@@ -202,7 +203,7 @@
           {"Idempotency-Key-Issued-At", std::to_string(IssuedMs)}};
 }
 
-std::map<std::string, int> keyRuns(Fleet &Deployment) {
+std::map<std::string, int> keyRuns(TestDeployment &Deployment) {
   std::map<std::string, int> Out;
   for (const std::string &Line : Deployment.runs(Deployment.Services)) {
     const size_t Space = Line.rfind(' ');
@@ -214,33 +215,35 @@
 struct OwnerFaultRow {
   const char *Name;
   bool ChecksFencing;
-  void (*Fault)(Fleet &);
-  void (*Heal)(Fleet &);
+  void (*Fault)(TestDeployment &);
+  void (*Heal)(TestDeployment &);
 };
 
 // Faults of a side that owns shards of keys, and of the platform, while callers
 // send every key through both entries.
 const OwnerFaultRow OwnerFaultRows[] = {
     {"owner frozen past its lease, then resumed", false,
-     [](Fleet &Deployment) {
-       Deployment.ServiceSides[0].Running->signal(SIGSTOP);
+     [](TestDeployment &Deployment) {
+       Deployment.ServiceSides[0].Child->signal(SIGSTOP);
      },
-     [](Fleet &Deployment) {
-       Deployment.ServiceSides[0].Running->signal(SIGCONT);
+     [](TestDeployment &Deployment) {
+       Deployment.ServiceSides[0].Child->signal(SIGCONT);
      }},
     {"owner killed and replaced", true,
-     [](Fleet &Deployment) {
-       Deployment.ServiceSides[0].Running->signal(SIGKILL);
-       Deployment.ServiceSides[0].Running->wait();
+     [](TestDeployment &Deployment) {
+       Deployment.ServiceSides[0].Child->signal(SIGKILL);
+       Deployment.ServiceSides[0].Child->wait();
      },
-     [](Fleet &Deployment) { Deployment.restart(Deployment.ServiceSides[0]); }},
+     [](TestDeployment &Deployment) {
+       Deployment.restart(Deployment.ServiceSides[0]);
+     }},
     {"owner frozen during a platform outage", false,
-     [](Fleet &Deployment) {
+     [](TestDeployment &Deployment) {
        Deployment.admin(Deployment.Platform.Http, "/admin/outage?on=1");
-       Deployment.ServiceSides[0].Running->signal(SIGSTOP);
+       Deployment.ServiceSides[0].Child->signal(SIGSTOP);
      },
-     [](Fleet &Deployment) {
-       Deployment.ServiceSides[0].Running->signal(SIGCONT);
+     [](TestDeployment &Deployment) {
+       Deployment.ServiceSides[0].Child->signal(SIGCONT);
        Deployment.admin(Deployment.Platform.Http, "/admin/outage?on=0");
      }},
 };
@@ -249,11 +252,11 @@
 
 TEST_CASE("no order runs twice, and no order reported as not run has run") {
   for (const OwnerFaultRow &Row : OwnerFaultRows) {
-    FleetShape Shape = quickShape();
+    DeploymentOptions Shape = quickShape();
     Shape.Engines = 1;
     Shape.LeaseMs = 1500;
     Shape.ServicesCheckFencing = Row.ChecksFencing;
-    Fleet Deployment(Shape, ".", workFolder("orders"));
+    TestDeployment Deployment(Shape, ".", workFolder("orders"));
     Deployment.start();
     std::set<std::string> NotRun;
     std::set<std::string> Done;
@@ -264,7 +267,7 @@
       for (int I = 0; !Stopping; ++I) {
         const std::string Key =
             "k" + std::to_string(Thread) + "-" + std::to_string(I);
-        const int64_t Issued = unixMillis(presentTime().Wall);
+        const int64_t Issued = unixMillis(currentTime().Wall);
         for (size_t Entry = 0; Entry < 2; ++Entry) {
           auto Fields = keyHeaders(Key, Issued);
           Fields.push_back({"X-Deadline-Ms", "1000"});
@@ -314,9 +317,9 @@
 }
 
 TEST_CASE("silent connections are replaced without a failed request") {
-  FleetShape Shape = quickShape();
+  DeploymentOptions Shape = quickShape();
   Shape.Relay = true;
-  Fleet Deployment(Shape, ".", workFolder("silent"));
+  TestDeployment Deployment(Shape, ".", workFolder("silent"));
   Deployment.start();
   Callers Traffic(Deployment, 6);
   CHECK(eventually([&] { return Traffic.answered() > 100; }, MaxWaitSeconds));
@@ -332,7 +335,7 @@
 }
 
 TEST_CASE("a draining upstream gets no new requests after a few seconds") {
-  Fleet Deployment(quickShape(), ".", workFolder("leaving"));
+  TestDeployment Deployment(quickShape(), ".", workFolder("leaving"));
   Deployment.start();
   Callers Traffic(Deployment, 4);
   CHECK(eventually([&] { return Traffic.answered() > 50; }, MaxWaitSeconds));
@@ -356,13 +359,13 @@
 }
 
 TEST_CASE("an entry restarted in an outage gets its state from its peers") {
-  Fleet Deployment(quickShape(), ".", workFolder("outage"));
+  TestDeployment Deployment(quickShape(), ".", workFolder("outage"));
   Deployment.start();
   Deployment.admin(Deployment.Platform.Http, "/admin/outage?on=1");
-  Deployment.Entries[0].Running->signal(SIGKILL);
-  Deployment.Entries[0].Running->wait();
+  Deployment.Entries[0].Child->signal(SIGKILL);
+  Deployment.Entries[0].Child->wait();
   Deployment.restart(Deployment.Entries[0]);
-  CHECK(eventually([&] { return Deployment.generationInForce(1); },
+  CHECK(eventually([&] { return Deployment.allHaveGeneration(1); },
                    MaxWaitSeconds));
   CHECK(post(Deployment.Entries[0].Http, "/v1/completions",
              completionBody("a1@1", "t", 3, true))
@@ -370,29 +373,29 @@
 }
 
 TEST_CASE("a poison request crashes at most two engines") {
-  FleetShape Shape = quickShape();
+  DeploymentOptions Shape = quickShape();
   Shape.CrashDownMs = 300;
-  Fleet Deployment(Shape, ".", workFolder("poison"));
+  TestDeployment Deployment(Shape, ".", workFolder("poison"));
   Deployment.start();
   for (int I = 0; I < 8; ++I)
     post(Deployment.Entries[static_cast<size_t>(I) % 2].Http, "/v1/completions",
          R"({"model":"a1@1","prompt":"POISON","max_tokens":3})");
-  CHECK(Deployment.engineCount("crashes") <= 2);
-  CHECK(Deployment.engineCount("crashes") >= 1);
+  CHECK(Deployment.sumEngineCounter("crashes") <= 2);
+  CHECK(Deployment.sumEngineCounter("crashes") >= 1);
   CHECK(post(Deployment.Entries[0].Http, "/v1/completions",
              completionBody("a1@1", "t", 3, false))
             .Head.Status == 200);
 }
 
 TEST_CASE("apply resolves lost responses and reports a generation conflict") {
-  Fleet Deployment(quickShape(), ".", workFolder("apply"));
+  TestDeployment Deployment(quickShape(), ".", workFolder("apply"));
   Deployment.start();
   Deployment.Shape.Adapters = 51;
   Deployment.admin(Deployment.Platform.Http,
                    "/admin/lose_answers?count=1000000");
   CHECK(Deployment.apply() == 0);
   Deployment.admin(Deployment.Platform.Http, "/admin/lose_answers?count=0");
-  CHECK(eventually([&] { return Deployment.generationInForce(2); },
+  CHECK(eventually([&] { return Deployment.allHaveGeneration(2); },
                    MaxWaitSeconds));
   CHECK(Deployment.apply() == 0); // Unchanged.
   CHECK(Deployment.tool({"apply", workFolder("apply") + "/declarations",
@@ -403,7 +406,7 @@
 }
 
 TEST_CASE("operators read the status of all processes from the platform") {
-  Fleet Deployment(quickShape(), ".", workFolder("status"));
+  TestDeployment Deployment(quickShape(), ".", workFolder("status"));
   Deployment.start();
   const std::vector<std::string> Status = {"--json", "status", "--platform",
                                            Deployment.Platform.Http.text()};
@@ -423,7 +426,7 @@
 
 TEST_CASE("a process that cannot start exits with a non-zero code") {
   const std::string Work = workFolder("start");
-  Fleet Deployment(quickShape(), ".", Work);
+  TestDeployment Deployment(quickShape(), ".", Work);
   Deployment.start();
   const auto Run = [&](const std::string &Settings) {
     return Process({"./goldcrestlinkd", "--settings", Settings},
@@ -449,7 +452,7 @@
 } // namespace
 
 TEST_CASE("invalid input is rejected and the process continues to serve") {
-  Fleet Deployment(quickShape(), ".", workFolder("bad"));
+  TestDeployment Deployment(quickShape(), ".", workFolder("bad"));
   Deployment.start();
   const std::string Path = "/v1/completions";
   const BadHttpRow Rows[] = {
--- a/testing/store_standin.cc
+++ b/testing/store_standin.cc
@@ -116,7 +116,7 @@
   case StoreFault::Garbage:
     Responder->whole(200, jsonType(), "{\"items\": 7, \"events\": [[");
     return true;
-  case StoreFault::Torn:
+  case StoreFault::Truncated:
     Responder->begin(200, jsonType());
     Responder->data(std::string("{\"items\": []}").substr(0, TruncatedBytes));
     Responder->abort();
--- a/testing/store_standin.h
+++ b/testing/store_standin.h
@@ -34,7 +34,7 @@
   /// With a body that is not valid JSON.
   Garbage,
   /// With a part of the body, after which the connection is closed.
-  Torn
+  Truncated
 };
 
 /// Not thread-safe: to be used on the thread that runs its io_context.
--- a/testing/upstream_standin.cc
+++ b/testing/upstream_standin.cc
@@ -114,10 +114,10 @@
            [=, this, StartedIn = Incarnation, Body = Request.Body] {
              if (Incarnation != StartedIn)
                return;
-             reportRunEnd(Id, RunEnd::Whole);
+             reportRunEnd(Id, RunEnd::Complete);
              if (Fault == UpstreamFault::Silent)
                return Unanswered.push_back(Responder);
-             if (Fault != UpstreamFault::Torn)
+             if (Fault != UpstreamFault::Truncated)
                return Responder->whole(Fault == UpstreamFault::Failing ? 500
                                                                        : 200,
                                        signedFields(Request), "done " + Body);
@@ -143,7 +143,7 @@
   if (Fault == UpstreamFault::Silent)
     return Unanswered.push_back(Responder);
   if (Fault == UpstreamFault::Failing) {
-    reportRunEnd(std::string(Request.header("Request-Id")), RunEnd::Whole);
+    reportRunEnd(std::string(Request.header("Request-Id")), RunEnd::Complete);
     return Responder->whole(500, signedFields(Request), "");
   }
   http::Headers Fields = signedFields(Request);
@@ -168,10 +168,10 @@
   if (Open->Ended)
     return;
   if (Next > Open->Last) {
-    endStream(*Open, RunEnd::Whole);
+    endStream(*Open, RunEnd::Complete);
     return Open->To->end();
   }
-  if (Fault == UpstreamFault::Torn && Next > Open->Last / 2) {
+  if (Fault == UpstreamFault::Truncated && Next > Open->Last / 2) {
     endStream(*Open, RunEnd::Crashed);
     return Open->To->abort();
   }
@@ -245,8 +245,8 @@
   const std::string_view Id = Request.header("Request-Id");
   if (!Shared.Observer || Id.empty())
     return;
-  RunSeen Out;
-  Out.At = presentTime().Steady;
+  RunRecord Out;
+  Out.At = currentTime().Steady;
   Out.Executed = false;
   Out.RequestId = std::string(Id);
   Out.Upstream = Description.Id;
@@ -258,8 +258,8 @@
   Tally.Ran.emplace_back(Request.header("Request-Id"));
   if (!Shared.Observer)
     return;
-  RunSeen Out;
-  Out.At = presentTime().Steady;
+  RunRecord Out;
+  Out.At = currentTime().Steady;
   Out.RequestId = std::string(Request.header("Request-Id"));
   Out.Upstream = Description.Id;
   Out.Target = Request.Target;
@@ -269,13 +269,13 @@
       It != Shared.Releases.end() && Version < It->second.Version)
     Out.Outdated = Out.At - It->second.Since;
   if (draining())
-    Out.Leaving = Out.At - DrainingSince;
+    Out.Draining = Out.At - DrainingSince;
   Shared.Observer->onRun(Out);
 }
 
 void UpstreamStandIn::reportRunEnd(const std::string &RequestId, RunEnd How) {
   if (Shared.Observer)
-    Shared.Observer->onRunEnd(presentTime().Steady, RequestId, Description.Id,
+    Shared.Observer->onRunEnd(currentTime().Steady, RequestId, Description.Id,
                               How);
 }
 
--- a/testing/upstream_standin.h
+++ b/testing/upstream_standin.h
@@ -37,7 +37,7 @@
 };
 
 /// A caller's request as it reaches an upstream.
-struct RunSeen {
+struct RunRecord {
   Time At{};
   /// False if the upstream rejects it without running it.
   bool Executed = true;
@@ -51,18 +51,18 @@
   Duration Outdated{};
   /// How long the store has shown the upstream as draining, or not at all; zero
   /// if it shows the upstream as ready.
-  Duration Leaving{};
+  Duration Draining{};
 };
 
 /// How a run ended: answered in full, its caller disconnected, or cut off.
-enum class RunEnd { Whole, CallerGone, Crashed };
+enum class RunEnd { Complete, CallerGone, Crashed };
 
 /// Notified of what upstreams do, on the thread of the stand-ins.
 class UpstreamObserver {
 public:
   virtual ~UpstreamObserver() = default;
   /// A caller's request has reached an upstream, executed or rejected.
-  virtual void onRun(const RunSeen &) = 0;
+  virtual void onRun(const RunRecord &) = 0;
   virtual void onRunEnd(Time Now, const std::string &RequestId,
                         const std::string &Upstream, RunEnd) = 0;
   /// An upstream received an order that no correct side sends.
@@ -73,7 +73,7 @@
 /// How an upstream answers requests of callers: correctly, never, with 500,
 /// without the signature that marks an executed request, or with a part of the
 /// answer after which the connection is closed.
-enum class UpstreamFault { None, Silent, Failing, Unsigned, Torn };
+enum class UpstreamFault { None, Silent, Failing, Unsigned, Truncated };
 
 /// State that all upstreams of a deployment share. Not thread-safe.
 struct UpstreamsShared {
--- a/testing/world.cc
+++ b/testing/world.cc
@@ -75,7 +75,7 @@
     auto Entry = std::make_unique<EntryNode>();
     Entry->Index = I;
     Entry->WallOffset = randomUpTo(MaxClockOffset);
-    Entry->Machine = std::make_unique<entry::EntryMachine>(
+    Entry->Machine = std::make_unique<entry::EntryStateMachine>(
         Options.Entry, Config, "dc", Options.Seed * 100 + I + 1);
     Entries.push_back(std::move(Entry));
   }
@@ -84,7 +84,7 @@
 // Starts or restarts the process of a side, with empty state and a new
 // incarnation number.
 void Simulation::startSide(SideNode &Side) {
-  Side.Machine = std::make_unique<side::SideMachine>(
+  Side.Machine = std::make_unique<side::SideStateMachine>(
       Options.Side, Config, Side.Upstream, ++LastIncarnation);
   if (Side.IsEngine)
     return;
@@ -96,7 +96,7 @@
       Side.Upstream, LastIncarnation);
 }
 
-Now Simulation::now(Duration WallOffset) const {
+CurrentTime Simulation::now(Duration WallOffset) const {
   return {Time(SteadyEpoch + Clock), WallTime(WallEpoch + Clock + WallOffset)};
 }
 
@@ -203,7 +203,7 @@
 
 void Simulation::perform(EntryNode &Entry, entry::Actions &Out) {
   for (entry::Action &A : Out) {
-    if (auto *Send = std::get_if<entry::SendSide>(&A)) {
+    if (auto *Send = std::get_if<entry::SendToSide>(&A)) {
       sendToSide(Entry, Send->Upstream, Send->Message);
     } else if (auto *Reset = std::get_if<entry::ResetConnection>(&A)) {
       const auto Previous = Entry.Connections[Reset->Upstream];
@@ -212,7 +212,7 @@
       Entry.Connections[Reset->Upstream] = Replacement;
     } else if (auto *Data = std::get_if<entry::DeliverData>(&A)) {
       Submissions.at(Data->RequestId).Received += Data->Bytes;
-    } else if (auto *Answer = std::get_if<entry::DeliverWhole>(&A)) {
+    } else if (auto *Answer = std::get_if<entry::DeliverFullAnswer>(&A)) {
       Submissions.at(Answer->RequestId).Received = Answer->Body;
       endRequest(Answer->RequestId, Outcome::Ran, Answer->Status == 200,
                  Code::None);
--- a/testing/world.h
+++ b/testing/world.h
@@ -54,8 +54,8 @@
   /// Simulated time during which callers send requests. The simulation then
   /// continues past the longest deadline, so that every request can end.
   Duration TrafficDuration = std::chrono::seconds(15);
-  side::SideMachine::Options Side;
-  entry::EntryMachine::Options Entry;
+  side::SideStateMachine::Options Side;
+  entry::EntryStateMachine::Options Entry;
 };
 
 /// Not thread-safe.
@@ -88,7 +88,7 @@
   void schedule(Duration Delay, std::function<void()> Do);
   void tick();
   void injectFaults();
-  Now now(Duration WallOffset) const;
+  CurrentTime now(Duration WallOffset) const;
   bool chance(double Probability);
   /// A random duration from zero to \p Max, both included.
   Duration randomUpTo(Duration Max);
@@ -114,7 +114,7 @@
   void startCheck(SideNode &Side);
   void crashEngine(SideNode &Side);
   void stepLease(SideNode &Side);
-  void applyShards(SideNode &Side, const ShardEffects &Effects);
+  void applyShards(SideNode &Side, const ShardChanges &Effects);
   SideNode *sideOf(const std::string &Upstream);
   Duration networkDelay();
   bool lostBetweenSides();
--- a/testing/world_engines.cc
+++ b/testing/world_engines.cc
@@ -19,7 +19,7 @@
   for (side::Action &A : Out) {
     if (auto *R = std::get_if<side::Reply>(&A)) {
       sendToPeer(Side, R->Peer, R->Message);
-    } else if (auto *T = std::get_if<side::TellSide>(&A)) {
+    } else if (auto *T = std::get_if<side::SendToSide>(&A)) {
       SideNode *To = sideOf(T->Upstream);
       const std::string Peer = "side/" + Side.Upstream;
       const wire::Envelope Message = T->Message;
@@ -70,9 +70,9 @@
       return;
     side::UpstreamStatus Status;
     if (Side.Fake.DownUntil > Clock)
-      Status.Is = side::UpstreamStatus::Kind::Refused;
+      Status.Result = side::UpstreamStatus::Kind::Refused;
     else if (Side.Fake.SilentUntil > Clock)
-      Status.Is = side::UpstreamStatus::Kind::Silent;
+      Status.Result = side::UpstreamStatus::Kind::Silent;
     if (Side.IsEngine)
       Status.SlotKeys = Side.Fake.Slots;
     side::Actions More;
@@ -108,18 +108,19 @@
           KeyLastSent[Key] <= NotRunSince->second)
         reportViolation("key " + Key + " ran after it was reported as not run");
       schedule(CallDuration, [Report, Id, Key] {
-        Report(
-            [Id, Key](side::SideMachine &M, const Now &N, side::Actions &Out) {
-              M.onRunHead(N, Id, 200, "text/plain", Out);
-              M.onRunData(N, Id, "done " + Key, Out);
-              M.onRunDone(N, Id, Out);
-            });
+        Report([Id, Key](side::SideStateMachine &M, const CurrentTime &N,
+                         side::Actions &Out) {
+          M.onRunHead(N, Id, 200, "text/plain", Out);
+          M.onRunData(N, Id, "done " + Key, Out);
+          M.onRunDone(N, Id, Out);
+        });
       });
     });
     return;
   }
   if (Side.Fake.DownUntil > Clock)
-    return Report([Id](side::SideMachine &M, const Now &N, side::Actions &Out) {
+    return Report([Id](side::SideStateMachine &M, const CurrentTime &N,
+                       side::Actions &Out) {
       M.onRunError(N, Id, side::RunError::NotSent, Out);
     });
   // Simulated completions have the body "model tag".
@@ -128,7 +129,8 @@
   const auto Slot =
       std::find(Side.Fake.Slots.begin(), Side.Fake.Slots.end(), Model);
   if (Slot == Side.Fake.Slots.end())
-    return Report([Id](side::SideMachine &M, const Now &N, side::Actions &Out) {
+    return Report([Id](side::SideStateMachine &M, const CurrentTime &N,
+                       side::Actions &Out) {
       M.onRunHead(N, Id, 404, "", Out);
       M.onRunDone(N, Id, Out);
     });
@@ -155,8 +157,8 @@
     const bool Swapped = (Options.Faults & SwappedAnswers) && chance(0.1);
     const std::string Text = Swapped ? "somebody" : Tag;
     const std::string Echo = Swapped ? "another" : Id;
-    Report([Id, Model, Text, Echo](side::SideMachine &M, const Now &N,
-                                   side::Actions &Out) {
+    Report([Id, Model, Text, Echo](side::SideStateMachine &M,
+                                   const CurrentTime &N, side::Actions &Out) {
       const std::string Part = "data: {\"id\":\"cmpl-" + Echo +
                                "\",\"model\":\"" + Model + "\",\"text\":\"" +
                                Text + "|\"}\n\n";
--- a/testing/world_leases.cc
+++ b/testing/world_leases.cc
@@ -7,7 +7,7 @@
 
 namespace goldcrestlink::testing {
 
-void Simulation::applyShards(SideNode &Side, const ShardEffects &Effects) {
+void Simulation::applyShards(SideNode &Side, const ShardChanges &Effects) {
   if (Effects.EndLease)
     Side.Machine->endLease();
   for (uint32_t Shard : Effects.Drop)
@@ -22,7 +22,7 @@
 
 // Starts one renewal if it is due and none is in progress.
 void Simulation::stepLease(SideNode &Side) {
-  if (Side.RenewalInProgress || !Side.Lease->due(now({}).Steady))
+  if (Side.RenewalInProgress || !Side.Lease->renewalDue(now({}).Steady))
     return;
   Side.RenewalInProgress = true;
   const uint64_t RestartCount = Side.RestartCount;
@@ -43,7 +43,7 @@
     Read.ParseFromString(StoredTable);
     WhenResumed([this, &Side, WhenResumed, Version, Read] {
       wire::ShardTable Wanted = Read;
-      ShardEffects Before;
+      ShardChanges Before;
       Side.Lease->plan(now({}).Steady, Wanted, Before);
       applyShards(Side, Before);
       const Time SentAt = now({}).Steady;
@@ -61,7 +61,7 @@
           Side.RenewalInProgress = false;
           if (!Applied || ResponseLost)
             return Side.Lease->onFailed(now({}).Steady);
-          ShardEffects After;
+          ShardChanges After;
           Side.Lease->onWritten(SentAt, now({}).Steady, Wanted, After);
           applyShards(Side, After);
         });
--- a/testing/world_nodes.h
+++ b/testing/world_nodes.h
@@ -37,7 +37,7 @@
 struct Simulation::SideNode {
   std::string Upstream;
   bool IsEngine = true;
-  std::unique_ptr<side::SideMachine> Machine;
+  std::unique_ptr<side::SideStateMachine> Machine;
   std::unique_ptr<ShardLease> Lease;
   FakeEngine Fake;
   Duration WallOffset{};
@@ -48,7 +48,7 @@
 
 struct Simulation::EntryNode {
   size_t Index = 0;
-  std::unique_ptr<entry::EntryMachine> Machine;
+  std::unique_ptr<entry::EntryStateMachine> Machine;
   Duration WallOffset{};
   std::map<std::string, std::shared_ptr<Connection>> Connections;
 };
--- a/testing/world_test.cc
+++ b/testing/world_test.cc
@@ -100,8 +100,8 @@
 struct MutationRow {
   const char *Name;
   unsigned Faults;
-  void (*Side)(side::SideMachine::Options &);
-  void (*Entry)(entry::EntryMachine::Options &);
+  void (*Side)(side::SideStateMachine::Options &);
+  void (*Entry)(entry::EntryStateMachine::Options &);
   /// Part of the text of the violation that must be reported.
   const char *Expected;
 };
@@ -109,14 +109,14 @@
 using side::SideMutation;
 
 const MutationRow MutationRows[] = {
-    {"older keys accepted", SideRestarts, SideMutation::dropBarrier, nullptr,
-     "ran 2 times"},
-    {"slots not pinned", NoFaults, SideMutation::dropPins, nullptr,
+    {"older keys accepted", SideRestarts, SideMutation::disableOwnershipBarrier,
+     nullptr, "ran 2 times"},
+    {"slots not pinned", NoFaults, SideMutation::disableSlotPinning, nullptr,
      "replaced while in use"},
-    {"answers not checked", SwappedAnswers, SideMutation::dropAnswerCheck,
+    {"answers not checked", SwappedAnswers, SideMutation::disableAnswerCheck,
      nullptr, "received another request's answer"},
     {"open attempts ignored", SilentConnections | SidePauses, nullptr,
-     entry::EntryMutation::forgetOpenAttempts, "reported as not run but ran"},
+     entry::EntryMutation::ignoreOpenAttempts, "reported as not run but ran"},
 };
 
 bool reportsViolation(const MutationRow &Row, uint64_t Seed) {
@@ -151,7 +151,7 @@
 TEST_CASE("without isolation a poison request crashes more engines") {
   SimulationOptions Options;
   Options.Faults = PoisonRequests;
-  SideMutation::dropIsolation(Options.Side);
+  SideMutation::disableIsolation(Options.Side);
   Simulation Sim(Options);
   Sim.run();
   CHECK(Sim.poisonCrashes() > 2);
