--- a/http/client.cc
+++ b/http/client.cc
@@ -1,12 +1,16 @@
-// A call takes an idle connection or opens one, writes the request and reads
-// the response in parts, handing each part over as it comes. A call on a kept
-// connection that the peer closed before any response byte is repeated once on
-// a fresh connection only if its method is safe to repeat (GET).
-// Idle connections are bounded per client, and dropped by age before the peer
-// is expected to close them. Request and answer are transferred at the same
-// time, since a peer may answer before it has read a long body; a connection on
-// which the answer came first is closed. Keep-alive probes find connections
-// that have gone silent.
+// A call reuses an idle connection or opens a new one, writes the request, and
+// passes each part of the response on as it arrives, so a call buffers at most
+// ReadBufferBytes of the response.
+//
+// If a reused connection breaks before the response header, the call is retried
+// once on a new connection, provided that the connection took no byte of the
+// request or that the method is GET.
+//
+// The pool holds at most MaxIdlePerEndpoint connections per endpoint and drops
+// them before the peer is expected to close them. Request and response are
+// transferred at the same time, since a peer may respond before it has read a
+// long body; a connection whose response was complete before the request was
+// written is closed. TCP keep-alive probes detect peers that no longer respond.
 #include "http/client.h"
 
 #include <charconv>
@@ -33,32 +37,36 @@
 namespace {
 constexpr size_t MaxIdlePerEndpoint = 64;
 constexpr size_t ReadBufferBytes = 1024 * 1024;
-// Bodies are handed on in parts, so the limit only has to be out of reach.
+// Effectively no limit: a call passes the body on in parts and keeps none.
 constexpr uint64_t MaxBodyBytes = uint64_t(1) << 50;
-// A connection whose peer acknowledges nothing for this long is given up.
-constexpr int ProbeIdleSeconds = 1;
-constexpr int ProbeIntervalSeconds = 1;
-constexpr int ProbeCount = 2;
-constexpr int UserTimeoutMs = 2500;
-// A kept connection is left this long before the peer's announced timeout.
-constexpr Duration IdleMargin = std::chrono::milliseconds(700);
-
-void setProbes(Tcp::socket &Socket) {
+// TCP keep-alive: the first probe is sent after this idle time, further ones at
+// this interval; after this many unanswered probes the connection is closed.
+constexpr int KeepAliveIdleSeconds = 1;
+constexpr int KeepAliveIntervalSeconds = 1;
+constexpr int KeepAliveProbes = 2;
+// A connection whose peer acknowledges nothing for this long is closed.
+constexpr int TcpUserTimeoutMs = 2500;
+// An idle connection is not reused in the last part of the keep-alive timeout
+// that the peer announced, since the peer could close it at that moment.
+constexpr Duration KeepAliveMargin = std::chrono::milliseconds(700);
+
+void setSocketOptions(Tcp::socket &Socket) {
   const int Handle = Socket.native_handle();
   const auto Set = [&](int Level, int Name, int Value) {
-    // Best effort: without probes, the call's own time limits remain.
+    // Errors are ignored: without keep-alive, the call's timeouts still apply.
     (void)setsockopt(Handle, Level, Name, &Value, sizeof(Value));
   };
   Set(SOL_SOCKET, SO_KEEPALIVE, 1);
-  Set(IPPROTO_TCP, TCP_KEEPIDLE, ProbeIdleSeconds);
-  Set(IPPROTO_TCP, TCP_KEEPINTVL, ProbeIntervalSeconds);
-  Set(IPPROTO_TCP, TCP_KEEPCNT, ProbeCount);
-  Set(IPPROTO_TCP, TCP_USER_TIMEOUT, UserTimeoutMs);
+  Set(IPPROTO_TCP, TCP_KEEPIDLE, KeepAliveIdleSeconds);
+  Set(IPPROTO_TCP, TCP_KEEPINTVL, KeepAliveIntervalSeconds);
+  Set(IPPROTO_TCP, TCP_KEEPCNT, KeepAliveProbes);
+  Set(IPPROTO_TCP, TCP_USER_TIMEOUT, TcpUserTimeoutMs);
   Set(IPPROTO_TCP, TCP_NODELAY, 1);
 }
 
-// The time in "Keep-Alive: timeout=5"; zero if there is none.
-Duration announcedIdleTime(std::string_view Field) {
+// The timeout announced by a Keep-Alive field such as "timeout=5"; zero if the
+// field names none.
+Duration announcedKeepAlive(std::string_view Field) {
   const size_t At = Field.find("timeout=");
   if (At == std::string_view::npos)
     return Duration(0);
@@ -75,20 +83,22 @@
 struct Client::Pool {
   explicit Pool(asio::io_context &Io) : Io(Io) {}
 
-  struct Kept {
+  struct IdleConnection {
     Tcp::socket Socket;
-    Time Since;
-    // Not used again after this.
-    Time Until;
+    Time IdleSince;
+    // Not reused from this time on.
+    Time UsableUntil;
   };
 
+  // The most recently used idle connection that is still open and has no
+  // unread data. Unusable ones that are newer are closed.
   std::optional<Tcp::socket> take(const std::string &Key, Duration MaxAge) {
-    auto It = Idle.find(Key);
-    const Time N = steadyNow();
-    while (It != Idle.end() && !It->second.empty()) {
-      Kept Last = std::move(It->second.back());
+    auto It = ByEndpoint.find(Key);
+    const Time Now = steadyNow();
+    while (It != ByEndpoint.end() && !It->second.empty()) {
+      IdleConnection Last = std::move(It->second.back());
       It->second.pop_back();
-      if (N >= Last.Until || N - Last.Since > MaxAge)
+      if (Now >= Last.UsableUntil || Now - Last.IdleSince > MaxAge)
         continue;
       Tcp::socket Socket = std::move(Last.Socket);
       ErrorCode Error;
@@ -101,38 +111,43 @@
     return std::nullopt;
   }
 
-  void give(const std::string &Key, Tcp::socket Socket, Duration Usable) {
-    auto &List = Idle[Key];
-    const Time N = steadyNow();
-    std::erase_if(List, [&](const Kept &K) { return N >= K.Until; });
+  // Keeps a connection for reuse within \p Usable, or closes it if the endpoint
+  // has MaxIdlePerEndpoint already.
+  void put(const std::string &Key, Tcp::socket Socket, Duration Usable) {
+    auto &List = ByEndpoint[Key];
+    const Time Now = steadyNow();
+    std::erase_if(
+        List, [&](const IdleConnection &K) { return Now >= K.UsableUntil; });
     if (List.size() < MaxIdlePerEndpoint)
-      List.push_back({std::move(Socket), N, N + Usable});
+      List.push_back({std::move(Socket), Now, Now + Usable});
   }
 
   asio::io_context &Io;
-  std::map<std::string, std::vector<Kept>> Idle;
+  // By endpoint, "ip:port".
+  std::map<std::string, std::vector<IdleConnection>> ByEndpoint;
 };
 
 namespace {
 
-class LiveCall : public Call, public std::enable_shared_from_this<LiveCall> {
+class ActiveCall : public Call,
+                   public std::enable_shared_from_this<ActiveCall> {
 public:
-  LiveCall(std::shared_ptr<Client::Pool> Idle, const Endpoint &To, Request What,
-           CallOptions Options, CallHandlers On)
-      : Idle(std::move(Idle)), Key(To.text()), To(To), Options(Options),
-        On(std::move(On)) {
-    Stream.emplace(this->Idle->Io);
+  ActiveCall(std::shared_ptr<Client::Pool> Pool, const Endpoint &To,
+             Request Req, CallOptions Options, CallHandlers Handlers)
+      : Pool(std::move(Pool)), Key(To.text()), To(To), Options(Options),
+        Handlers(std::move(Handlers)) {
+    Stream.emplace(this->Pool->Io);
     Message.version(11);
-    Message.method_string(What.Method);
-    Message.target(What.Target);
+    Message.method_string(Req.Method);
+    Message.target(Req.Target);
     Message.set(bhttp::field::host, Key);
-    for (const Header &H : What.Fields) {
+    for (const Header &H : Req.Fields) {
       if (beast::iequals(H.Name, "Host"))
         Message.set(bhttp::field::host, H.Value);
       else
         Message.insert(H.Name, H.Value);
     }
-    Message.body() = std::move(What.Body);
+    Message.body() = std::move(Req.Body);
     Message.keep_alive(!Options.freshConnection());
     Message.prepare_payload();
     Buffer.max_size(ReadBufferBytes);
@@ -140,7 +155,7 @@
 
   void run() {
     if (!Options.freshConnection())
-      if (auto Socket = Idle->take(Key, Options.maxIdleAge())) {
+      if (auto Socket = Pool->take(Key, Options.maxIdleAge())) {
         Stream.emplace(std::move(*Socket));
         Reused = true;
         return write();
@@ -149,40 +164,42 @@
   }
 
   void cancel() override {
-    if (Over)
+    if (Finished)
       return;
-    Over = true;
+    Finished = true;
     resetSocket();
   }
 
 private:
   void connect() {
-    Stream->expires_after(nanos(Options.connectTimeout()));
-    const Tcp::endpoint Where(asio::ip::make_address(To.Address), To.Port);
-    Stream->async_connect(Where, [Self = shared_from_this()](ErrorCode Error) {
-      if (Self->Over)
-        return;
-      if (Error)
-        return Self->fail(CallError::NotSent, Error);
-      setProbes(Self->Stream->socket());
-      Self->write();
-    });
+    Stream->expires_after(toNanos(Options.connectTimeout()));
+    const Tcp::endpoint Address(asio::ip::make_address(To.Address), To.Port);
+    Stream->async_connect(Address,
+                          [Self = shared_from_this()](ErrorCode Error) {
+                            if (Self->Finished)
+                              return;
+                            if (Error)
+                              return Self->fail(CallError::NotSent, Error);
+                            setSocketOptions(Self->Stream->socket());
+                            Self->write();
+                          });
   }
 
   void write() {
-    Written = false;
-    Stream->expires_after(nanos(Options.silenceTimeout()));
+    RequestWritten = false;
+    Stream->expires_after(toNanos(Options.silenceTimeout()));
     bhttp::async_write(*Stream, Message,
                        [Self = shared_from_this(),
                         Attempt = Attempt](ErrorCode Error, size_t Bytes) {
-                         if (Self->Over || Attempt != Self->Attempt)
+                         if (Self->Finished || Attempt != Self->Attempt)
                            return;
-                         Self->Written = !Error;
-                         // Nothing was taken by a connection that the peer had
-                         // closed. Other errors show when the answer is read.
+                         Self->RequestWritten = !Error;
+                         // The peer had closed the connection, and no byte was
+                         // sent. Other errors also end the read of the
+                         // response and are handled there.
                          if (Error && Bytes == 0 &&
-                             kindOf(Error) == CallError::Broken)
-                           Self->brokenBeforeHead(Error, true);
+                             errorKind(Error) == CallError::Broken)
+                           Self->failBeforeHead(Error, true);
                        });
     Parser.emplace();
     Parser->body_limit(MaxBodyBytes);
@@ -192,100 +209,102 @@
   }
 
   void readHead() {
-    Stream->expires_after(nanos(Options.silenceTimeout()));
+    Stream->expires_after(toNanos(Options.silenceTimeout()));
     bhttp::async_read_header(
         *Stream, Buffer, *Parser,
         [Self = shared_from_this(), Attempt = Attempt](ErrorCode Error,
                                                        size_t) {
-          if (Self->Over || Attempt != Self->Attempt)
+          if (Self->Finished || Attempt != Self->Attempt)
             return;
           if (Error)
-            return Self->brokenBeforeHead(Error, false);
+            return Self->failBeforeHead(Error, false);
           ResponseHead Head;
           Head.Status = Self->Parser->get().result_int();
           for (const auto &F : Self->Parser->get())
             Head.Fields.push_back(
                 {std::string(F.name_string()), std::string(F.value())});
-          if (Self->On.OnHead)
-            Self->On.OnHead(Head);
-          Self->afterPart();
+          if (Self->Handlers.OnHead)
+            Self->Handlers.OnHead(Head);
+          Self->processBody();
         });
   }
 
-  void afterPart() {
-    if (Over)
+  void processBody() {
+    if (Finished)
       return;
     std::string &Body = Parser->get().body();
     if (!Body.empty()) {
       std::string Part = std::move(Body);
       Body.clear();
-      if (On.OnData)
-        On.OnData(std::move(Part));
-      if (Over)
+      if (Handlers.OnData)
+        Handlers.OnData(std::move(Part));
+      if (Finished)
         return;
     }
     if (Parser->is_done())
       return done();
-    Stream->expires_after(nanos(Options.silenceTimeout()));
+    Stream->expires_after(toNanos(Options.silenceTimeout()));
     bhttp::async_read_some(
         *Stream, Buffer, *Parser,
         [Self = shared_from_this()](ErrorCode Error, size_t) {
-          if (Self->Over)
+          if (Self->Finished)
             return;
           if (Error)
-            return Self->fail(kindOf(Error), Error);
-          Self->afterPart();
+            return Self->fail(errorKind(Error), Error);
+          Self->processBody();
         });
   }
 
   void done() {
-    Over = true;
-    if (Parser->get().keep_alive() && !Options.freshConnection() && Written &&
-        Buffer.size() == 0) {
+    Finished = true;
+    if (Parser->get().keep_alive() && !Options.freshConnection() &&
+        RequestWritten && Buffer.size() == 0) {
       Stream->expires_never();
       const Duration Announced =
-          announcedIdleTime(std::string(Parser->get()["Keep-Alive"]));
+          announcedKeepAlive(std::string(Parser->get()["Keep-Alive"]));
       const Duration Usable =
           Announced > Duration(0)
-              ? std::max(Announced - IdleMargin, Announced / 2)
+              ? std::max(Announced - KeepAliveMargin, Announced / 2)
               : Options.maxIdleAge();
-      Idle->give(Key, Stream->release_socket(), Usable);
+      Pool->put(Key, Stream->release_socket(), Usable);
     } else {
       closeSocket();
     }
-    if (On.OnDone)
-      On.OnDone();
+    if (Handlers.OnDone)
+      Handlers.OnDone();
   }
 
-  // \p NothingLeft: the connection took no byte of the request.
-  void brokenBeforeHead(ErrorCode Error, bool NothingLeft) {
+  // Ends or retries a call whose connection failed before the response header
+  // was read. \p NothingSent: no byte of the request was sent.
+  void failBeforeHead(ErrorCode Error, bool NothingSent) {
     const bool Repeatable =
-        NothingLeft ||
+        NothingSent ||
         (Options.repeatReads() && Message.method() == bhttp::verb::get);
-    if (Reused && Repeatable && kindOf(Error) == CallError::Broken) {
+    if (Reused && Repeatable && errorKind(Error) == CallError::Broken) {
       Reused = false;
       ++Attempt;
       Buffer.clear();
-      Stream.emplace(Idle->Io);
+      Stream.emplace(Pool->Io);
       return connect();
     }
-    fail(NothingLeft ? CallError::NotSent : kindOf(Error), Error);
+    fail(NothingSent ? CallError::NotSent : errorKind(Error), Error);
   }
 
-  static CallError kindOf(ErrorCode Error) {
+  static CallError errorKind(ErrorCode Error) {
     return Error == beast::error::timeout ? CallError::Silent
                                           : CallError::Broken;
   }
 
   void fail(CallError Kind, ErrorCode Error) {
-    Over = true;
+    Finished = true;
     resetSocket();
-    if (On.OnError)
-      On.OnError(Kind, Error.message());
+    if (Handlers.OnError)
+      Handlers.OnError(Kind, Error.message());
   }
 
-  // A call that is given up must not reach its peer later: an orderly close
-  // would leave bytes that a cut link holds up to be delivered after it heals.
+  // Closes with a reset, so that an abandoned request cannot reach the peer
+  // later: after an orderly close the kernel would go on resending unsent
+  // bytes, and they would arrive once an interrupted link works again.
   void resetSocket() {
     ErrorCode Ignored;
     Stream->socket().set_option(asio::socket_base::linger(true, 0), Ignored);
@@ -298,66 +317,71 @@
     Stream->socket().close(Ignored);
   }
 
-  static std::chrono::nanoseconds nanos(Duration D) { return D; }
+  static std::chrono::nanoseconds toNanos(Duration D) { return D; }
 
-  std::shared_ptr<Client::Pool> Idle;
+  std::shared_ptr<Client::Pool> Pool;
   std::string Key;
   Endpoint To;
   CallOptions Options;
-  CallHandlers On;
+  CallHandlers Handlers;
   std::optional<beast::tcp_stream> Stream;
   beast::flat_buffer Buffer;
   bhttp::request<bhttp::string_body> Message;
   std::optional<bhttp::response_parser<bhttp::string_body>> Parser;
-  // Handlers of an earlier connection of this call are told apart by it.
+  // Increases with each connection of this call. Handlers of an earlier
+  // connection compare it and do nothing.
   unsigned Attempt = 0;
-  bool Written = false;
+  bool RequestWritten = false;
   bool Reused = false;
-  bool Over = false;
+  bool Finished = false;
 };
 
 } // namespace
 
-Client::Client(asio::io_context &Io) : Idle(std::make_shared<Pool>(Io)) {}
+Client::Client(asio::io_context &Io)
+    : Connections(std::make_shared<Pool>(Io)) {}
 Client::~Client() = default;
 
-std::shared_ptr<Call> Client::start(const Endpoint &To, Request What,
-                                    CallOptions Options, CallHandlers On) {
-  auto Live = std::make_shared<LiveCall>(Idle, To, std::move(What), Options,
-                                         std::move(On));
-  asio::post(Idle->Io, [Live] { Live->run(); });
-  return Live;
+std::shared_ptr<Call> Client::start(const Endpoint &To, Request Req,
+                                    CallOptions Options,
+                                    CallHandlers Handlers) {
+  auto NewCall = std::make_shared<ActiveCall>(Connections, To, std::move(Req),
+                                              Options, std::move(Handlers));
+  asio::post(Connections->Io, [NewCall] { NewCall->run(); });
+  return NewCall;
 }
 
 std::shared_ptr<Call>
-Client::fetch(const Endpoint &To, Request What, CallOptions Options,
+Client::fetch(const Endpoint &To, Request Req, CallOptions Options,
               std::function<void(const Response *, CallError)> Done) {
   auto Out = std::make_shared<Response>();
-  CallHandlers On;
-  On.OnHead = [Out](const ResponseHead &Head) { Out->Head = Head; };
-  On.OnData = [Out](std::string Part) { Out->Body += Part; };
-  On.OnDone = [Out, Done] { Done(Out.get(), CallError::Broken); };
-  On.OnError = [Done](CallError Kind, const std::string &) {
+  CallHandlers Handlers;
+  Handlers.OnHead = [Out](const ResponseHead &Head) { Out->Head = Head; };
+  Handlers.OnData = [Out](std::string Part) { Out->Body += Part; };
+  Handlers.OnDone = [Out, Done] { Done(Out.get(), CallError::Broken); };
+  Handlers.OnError = [Done](CallError Kind, const std::string &) {
     Done(nullptr, Kind);
   };
-  return start(To, std::move(What), Options, std::move(On));
+  return start(To, std::move(Req), Options, std::move(Handlers));
 }
 
-void Client::dropIdle(const Endpoint &To) { Idle->Idle.erase(To.text()); }
+void Client::dropIdle(const Endpoint &To) {
+  Connections->ByEndpoint.erase(To.text());
+}
 
-Response fetchNow(const Endpoint &To, Request What, CallOptions Options) {
+Response fetchNow(const Endpoint &To, Request Req, CallOptions Options) {
   asio::io_context Io;
   Client C(Io);
   Response Out;
   bool Ok = false;
-  C.fetch(To, std::move(What), Options, [&](const Response *R, CallError) {
+  C.fetch(To, std::move(Req), Options, [&](const Response *R, CallError) {
     Ok = R != nullptr;
     if (R)
       Out = *R;
   });
   Io.run();
   if (!Ok)
-    throw std::runtime_error("no answer from " + To.text());
+    throw std::runtime_error("no response from " + To.text());
   return Out;
 }
 
--- a/http/client.h
+++ b/http/client.h
@@ -1,9 +1,10 @@
-// An HTTP/1.1 client on one io_context with kept-alive connections.
+// An asynchronous HTTP/1.1 client on one io_context that reuses keep-alive
+// connections.
 //
 //   http::Client C(Io);
 //   auto Call = C.start({"127.0.0.1", 8000}, Request, http::CallOptions(),
 //                       {OnHead, OnData, OnDone, OnError});
-//   Call->cancel();   // closes the connection; no handler runs afterwards
+//   Call->cancel();   // resets the connection; no handler runs afterwards
 #ifndef GOLDCRESTLINK_HTTP_CLIENT_H
 #define GOLDCRESTLINK_HTTP_CLIENT_H
 
@@ -19,41 +20,57 @@
 
 namespace goldcrestlink::http {
 
-/// How a call failed: before a byte could have left, or afterwards.
-enum class CallError { NotSent, Broken, Silent };
+/// How a call failed.
+enum class CallError {
+  /// No byte of the request can have reached the peer.
+  NotSent,
+  /// The connection ended, or the response was malformed, after bytes may have
+  /// been sent: the peer may have processed the request.
+  Broken,
+  /// The response or its next part did not arrive in time. The peer may have
+  /// processed the request.
+  Silent
+};
 
-/// Per-call behaviour.
+/// Options of one call. Setters return the object so that they chain.
 class CallOptions {
 public:
   bool freshConnection() const { return FreshConnection; }
   Duration connectTimeout() const { return ConnectTimeout; }
   Duration silenceTimeout() const { return SilenceTimeout; }
-  /// Calls that may not be repeated use a connection of their own, so that a
-  /// kept-alive connection closed by the peer cannot leave them in doubt.
+  /// Opens a new connection instead of reusing an idle one, and closes it
+  /// after the call. For requests that must not be retried: the peer may close
+  /// an idle connection just as a request is sent on it, and then it is unknown
+  /// whether the request was processed.
   CallOptions &setFreshConnection(bool On) {
     FreshConnection = On;
     return *this;
   }
-  CallOptions &setConnectTimeout(Duration D) {
-    ConnectTimeout = D;
+  /// The longest time until a new connection is established. A call that
+  /// exceeds it fails as NotSent.
+  CallOptions &setConnectTimeout(Duration Timeout) {
+    ConnectTimeout = Timeout;
     return *this;
   }
-  /// The longest wait without a byte before the call fails as Silent.
-  CallOptions &setSilenceTimeout(Duration D) {
-    SilenceTimeout = D;
+  /// The longest time from the start of sending until the response header is
+  /// complete, and after that until the next part of the body. A call that
+  /// exceeds it fails as Silent.
+  CallOptions &setSilenceTimeout(Duration Timeout) {
+    SilenceTimeout = Timeout;
     return *this;
   }
   Duration maxIdleAge() const { return MaxIdleAge; }
-  /// A kept connection that was idle for longer is not used again. A shorter
-  /// time that the peer announced goes before it.
-  CallOptions &setMaxIdleAge(Duration D) {
-    MaxIdleAge = D;
+  /// An idle connection older than this is not reused. If the peer announced a
+  /// shorter keep-alive timeout, that applies instead.
+  CallOptions &setMaxIdleAge(Duration Age) {
+    MaxIdleAge = Age;
     return *this;
   }
 
   bool repeatReads() const { return RepeatReads; }
-  /// Whether a GET on a kept connection that broke is repeated once on a fresh
-  /// one. Off for callers' requests: whether to repeat is decided elsewhere.
+  /// Whether a GET is retried once on a new connection if the reused connection
+  /// broke before the response began. Off for callers' requests, whose retries
+  /// follow the rules of their route.
   CallOptions &setRepeatReads(bool On) {
     RepeatReads = On;
     return *this;
@@ -67,7 +84,9 @@
   Duration SilenceTimeout = std::chrono::seconds(30);
 };
 
-/// What a call reports. Exactly one of OnDone and OnError ends it.
+/// Callbacks of a call; each may be empty. OnHead is called once, OnData for
+/// each part of the body as it arrives. Exactly one of OnDone and OnError is
+/// called at the end, unless the call is cancelled.
 struct CallHandlers {
   std::function<void(const ResponseHead &)> OnHead;
   std::function<void(std::string)> OnData;
@@ -79,39 +98,43 @@
 class Call {
 public:
   virtual ~Call() = default;
-  /// Ends the call silently and closes its connection. Idempotent.
+  /// Ends the call without a callback and resets its connection. Idempotent;
+  /// no effect after the end of the call. Not thread-safe.
   virtual void cancel() = 0;
 };
 
-/// A whole response, for calls that need no streaming.
+/// A complete response, for calls that need no streaming.
 struct Response {
   ResponseHead Head;
   std::string Body;
 };
 
-/// Starts calls and keeps idle connections. Not thread-safe.
+/// Starts calls and keeps a pool of idle connections. Not thread-safe.
 class Client {
 public:
   explicit Client(boost::asio::io_context &Io);
   ~Client();
   /// Starts a call. Handlers run on Io's thread, never from within start().
-  std::shared_ptr<Call> start(const Endpoint &To, Request What,
-                              CallOptions Options, CallHandlers On);
-  /// Starts a call whose answer is wanted whole. \p Done gets null on failure.
+  std::shared_ptr<Call> start(const Endpoint &To, Request Req,
+                              CallOptions Options, CallHandlers Handlers);
+  /// Starts a call and collects its response. \p Done receives the complete
+  /// response, or null and the error on failure; on success the error is to be
+  /// ignored.
   std::shared_ptr<Call>
-  fetch(const Endpoint &To, Request What, CallOptions Options,
+  fetch(const Endpoint &To, Request Req, CallOptions Options,
         std::function<void(const Response *, CallError)> Done);
-  /// Closes idle connections to \p To.
+  /// Closes the idle connections to \p To.
   void dropIdle(const Endpoint &To);
 
   struct Pool;
 
 private:
-  std::shared_ptr<Pool> Idle;
+  std::shared_ptr<Pool> Connections;
 };
 
-/// Makes one call on the calling thread; throws std::runtime_error on failure.
-Response fetchNow(const Endpoint &To, Request What, CallOptions Options);
+/// Makes one call and blocks until it ends; throws std::runtime_error on
+/// failure. Thread-safe.
+Response fetchNow(const Endpoint &To, Request Req, CallOptions Options);
 
 } // namespace goldcrestlink::http
 
--- a/http/message.cc
+++ b/http/message.cc
@@ -1,4 +1,5 @@
-// Linear scans: requests carry few fields, bounded by the server's limits.
+// Fields and query parameters are found by linear search; the header size
+// limits of server and client bound how many there are.
 #include "http/message.h"
 
 #include <algorithm>
@@ -20,10 +21,10 @@
 
 std::string_view Request::query(std::string_view Name) const {
   std::string_view Rest = Target;
-  const size_t Mark = Rest.find('?');
-  if (Mark == std::string_view::npos)
+  const size_t QuestionMark = Rest.find('?');
+  if (QuestionMark == std::string_view::npos)
     return {};
-  Rest.remove_prefix(Mark + 1);
+  Rest.remove_prefix(QuestionMark + 1);
   while (!Rest.empty()) {
     const size_t End = std::min(Rest.find('&'), Rest.size());
     const std::string_view Pair = Rest.substr(0, End);
--- a/http/message.h
+++ b/http/message.h
@@ -1,4 +1,11 @@
-// HTTP messages as plain values, so that only http/*.cc includes Beast.
+// HTTP messages as plain values. The types do not depend on Boost.Beast, so
+// only http/*.cc has to include it.
+//
+//   Request R;
+//   R.Target = "/watch/config?version=3";
+//   R.path();             // "/watch/config"
+//   R.query("version");   // "3"
+//   Endpoint::parse("127.0.0.1:8080").Port;   // 8080
 #ifndef GOLDCRESTLINK_HTTP_MESSAGE_H
 #define GOLDCRESTLINK_HTTP_MESSAGE_H
 
@@ -21,30 +28,31 @@
 /// view. Thread-safe; the view lives as long as \p List.
 std::string_view headerValue(const Headers &List, std::string_view Name);
 
-/// A whole request.
+/// A complete request, body included.
 struct Request {
   std::string Method = "GET";
   std::string Target = "/";
   Headers Fields;
   std::string Body;
 
-  /// The value of a header field, empty if absent.
+  /// The value of the first field named \p Name, empty if absent.
   std::string_view header(std::string_view Name) const {
     return headerValue(Fields, Name);
   }
-  /// The target without its query.
+  /// The target without its query string.
   std::string_view path() const {
     return std::string_view(Target).substr(0, Target.find('?'));
   }
-  /// The value of a query parameter, empty if absent. No percent-decoding.
+  /// The value of a query parameter, empty if absent. Not percent-decoded.
   std::string_view query(std::string_view Name) const;
 };
 
-/// Status line and header of a response.
+/// Status code and header fields of a response.
 struct ResponseHead {
   unsigned Status = 0;
   Headers Fields;
 
+  /// The value of the first field named \p Name, empty if absent.
   std::string_view header(std::string_view Name) const {
     return headerValue(Fields, Name);
   }
--- a/http/server.cc
+++ b/http/server.cc
@@ -1,7 +1,9 @@
-// One Connection per socket reads a request, hands it over, and queues what
-// the responder sends. While a request is in progress the connection also
-// waits for readability, which is how a caller's departure is noticed. Memory
-// per connection is bounded by the header, body and unsent-bytes limits.
+// One Connection per socket reads a request, passes it to the handler, and
+// queues the response bytes. It reads the next request only after the response
+// is written. While a request is in progress, the connection also waits for the
+// socket to become readable, which is how a disconnect of the caller is
+// detected. The header, body and unsent-bytes limits bound the memory per
+// connection, and maxConnections() bounds the number of connections.
 #include "http/server.h"
 
 #include <deque>
@@ -26,7 +28,7 @@
 namespace {
 class Connection;
 
-// The first read of a request takes this much; a header is usually smaller.
+// Size of the first read of a request; most headers are smaller.
 constexpr size_t FirstReadBytes = 4096;
 
 using ReusePort =
@@ -48,8 +50,10 @@
   Handler OnRequest;
   std::unordered_set<Connection *> Connections;
   size_t Active = 0;
+  // No new connections are accepted.
   bool Stopping = false;
-  bool Closing = false;
+  // Responses carry "Connection: close".
+  bool AnnounceClose = false;
 };
 
 namespace {
@@ -96,15 +100,15 @@
     Response.body() = std::move(Body);
     fillHead(Response, Status, Fields);
     Response.prepare_payload();
-    Ended = true;
-    push(serialise(Response));
+    ResponseComplete = true;
+    enqueue(serialise(Response));
   }
 
   void begin(unsigned Status, const Headers &Fields) override {
     bhttp::response<bhttp::empty_body> Response;
     fillHead(Response, Status, Fields);
     Response.chunked(true);
-    push(serialise(Response));
+    enqueue(serialise(Response));
   }
 
   void data(std::string Part) override {
@@ -116,22 +120,22 @@
     std::string Frame;
     Frame.reserve(Part.size() + static_cast<size_t>(Length) + 2);
     Frame.append(Size, static_cast<size_t>(Length)).append(Part).append("\r\n");
-    push(std::move(Frame));
+    enqueue(std::move(Frame));
   }
 
   void end() override {
-    Ended = true;
-    push("0\r\n\r\n");
+    ResponseComplete = true;
+    enqueue("0\r\n\r\n");
   }
 
   void abort() override {
-    CutAfterFlush = true;
+    CloseAfterFlush = true;
     if (Unsent.empty())
       close();
   }
 
   void onGone(std::function<void()> Callback) override {
-    Gone = std::move(Callback);
+    OnDisconnect = std::move(Callback);
   }
 
 private:
@@ -146,11 +150,11 @@
         [Self = shared_from_this()](ErrorCode Error, size_t) {
           if (Error)
             return Self->onRead(Error);
-          // Any other coding would leave the length of the body in doubt.
+          // With any other coding the length of the body would be ambiguous.
           const auto Coding =
               Self->Parser->get()[bhttp::field::transfer_encoding];
           if (!Coding.empty() && !beast::iequals(Coding, "chunked"))
-            return Self->refuse(400, "bad_request");
+            return Self->reject(400, "bad_request");
           if (Self->Parser->is_done())
             return Self->onRead(Error);
           Self->readBody();
@@ -160,7 +164,7 @@
   void readBody() {
     expireAfter(Owner->Options.bodyTimeout());
     if (beast::iequals(Parser->get()[bhttp::field::expect], "100-continue"))
-      push("HTTP/1.1 100 Continue\r\n\r\n");
+      enqueue("HTTP/1.1 100 Continue\r\n\r\n");
     bhttp::async_read(Stream, Buffer, *Parser,
                       [Self = shared_from_this()](ErrorCode Error, size_t) {
                         Self->onRead(Error);
@@ -171,7 +175,7 @@
   void fillHead(Response &R, unsigned Status, const Headers &Fields) {
     R.version(11);
     R.result(Status);
-    R.keep_alive(KeepAlive && !Owner->Closing);
+    R.keep_alive(KeepAlive && !Owner->AnnounceClose);
     KeepAlive = R.keep_alive();
     for (const Header &H : Fields)
       R.insert(H.Name, H.Value);
@@ -196,15 +200,15 @@
 
   void onRead(ErrorCode Error) {
     if (Error == bhttp::error::body_limit)
-      return refuse(413, "too_large");
+      return reject(413, "too_large");
     if (Error == bhttp::error::header_limit)
-      return refuse(431, "too_large");
+      return reject(431, "too_large");
     if (Error &&
         Error.category() ==
             bhttp::make_error_code(bhttp::error::bad_method).category() &&
         Error != bhttp::error::end_of_stream &&
         Error != bhttp::error::partial_message)
-      return refuse(400, "bad_request");
+      return reject(400, "bad_request");
     if (Error)
       return close();
     auto Message = Parser->release();
@@ -217,28 +221,29 @@
           {std::string(Field.name_string()), std::string(Field.value())});
     Out.Body = std::move(Message.body());
     InRequest = true;
-    Ended = false;
+    ResponseComplete = false;
     ++Owner->Active;
     Stream.expires_never();
-    // After a pause of this process the caller may have left long ago; nothing
-    // is to be started for it.
-    if (hasLeft())
+    // If this process was paused, the caller may have disconnected long ago;
+    // the handler must not start work for it.
+    if (isClosedByPeer())
       return close();
-    watchDeparture();
+    watchForDisconnect();
     Owner->OnRequest(std::move(Out), shared_from_this());
   }
 
-  void refuse(unsigned Status, const char *CodeText) {
+  void reject(unsigned Status, const char *Code) {
     KeepAlive = false;
     InRequest = true;
     ++Owner->Active;
     whole(Status, {{"Content-Type", "application/json"}},
-          std::string("{\"error\":{\"code\":\"") + CodeText +
+          std::string("{\"error\":{\"code\":\"") + Code +
               "\",\"outcome\":\"not_run\"}}");
   }
 
-  // True if the caller has closed its end of the connection.
-  bool hasLeft() {
+  // True if the caller has closed its sending direction or reset the
+  // connection.
+  bool isClosedByPeer() {
     ErrorCode Error;
     char Byte;
     Stream.socket().non_blocking(true, Error);
@@ -247,14 +252,17 @@
     return Error == asio::error::eof || Error == asio::error::connection_reset;
   }
 
-  // Readable with nothing available is end of stream. Pipelined bytes stay in
-  // the kernel until the next readRequest.
-  void watchDeparture() {
+  // Closes the connection if the caller disconnects during the request. A
+  // readable socket with no bytes available is at the end of the stream.
+  // Pipelined bytes stay in the kernel until the next readRequest().
+  void watchForDisconnect() {
     Stream.socket().async_wait(
         Tcp::socket::wait_read,
-        [Weak = weak_from_this(), Turn = Turn](ErrorCode Error) {
+        [Weak = weak_from_this(),
+         RequestNumber = RequestNumber](ErrorCode Error) {
           auto Self = Weak.lock();
-          if (!Self || Error || !Self->InRequest || Self->Turn != Turn)
+          if (!Self || Error || !Self->InRequest ||
+              Self->RequestNumber != RequestNumber)
             return;
           ErrorCode Bad;
           if (Self->Stream.socket().available(Bad) == 0)
@@ -262,7 +270,7 @@
         });
   }
 
-  void push(std::string Bytes) {
+  void enqueue(std::string Bytes) {
     if (Closed)
       return;
     UnsentBytes += Bytes.size();
@@ -274,10 +282,11 @@
   }
 
   void writeNext() {
-    asio::async_write(Stream.socket(), asio::buffer(Unsent.front()),
-                      [Self = shared_from_this()](ErrorCode Error, size_t N) {
-                        Self->onWritten(Error, N);
-                      });
+    asio::async_write(
+        Stream.socket(), asio::buffer(Unsent.front()),
+        [Self = shared_from_this()](ErrorCode Error, size_t Bytes) {
+          Self->onWritten(Error, Bytes);
+        });
   }
 
   void onWritten(ErrorCode Error, size_t Bytes) {
@@ -289,13 +298,14 @@
     Unsent.pop_front();
     if (!Unsent.empty())
       return writeNext();
-    if (CutAfterFlush)
+    if (CloseAfterFlush)
       return close();
-    if (!Ended || !InRequest)
+    if (!ResponseComplete || !InRequest)
       return;
-    Gone = nullptr;
+    OnDisconnect = nullptr;
     finishRequest();
-    // An answer that began before the stop has not announced the close.
+    // A response that began before the server stopped did not announce the
+    // close, so KeepAlive may still be set.
     if (!KeepAlive || Owner->Stopping)
       return close();
     readRequest();
@@ -305,7 +315,7 @@
     if (!InRequest)
       return;
     InRequest = false;
-    ++Turn;
+    ++RequestNumber;
     --Owner->Active;
   }
 
@@ -317,11 +327,11 @@
     Stream.socket().shutdown(Tcp::socket::shutdown_both, Ignored);
     Stream.socket().close(Ignored);
     finishRequest();
-    // Not called from here directly: the caller of data() or abort() may be
-    // in the midst of its own change of state.
-    if (auto Callback = std::move(Gone); Callback)
+    // Posted, not called here: the caller of data() or abort() may be in the
+    // middle of changing its own state.
+    if (auto Callback = std::move(OnDisconnect); Callback)
       asio::post(Owner->Io, std::move(Callback));
-    Gone = nullptr;
+    OnDisconnect = nullptr;
   }
 
   std::shared_ptr<Server::State> Owner;
@@ -330,26 +340,30 @@
   std::optional<bhttp::request_parser<bhttp::string_body>> Parser;
   std::deque<std::string> Unsent;
   size_t UnsentBytes = 0;
-  std::function<void()> Gone;
-  uint64_t Turn = 0;
+  std::function<void()> OnDisconnect;
+  // Number of finished requests; tells a disconnect watch of an earlier
+  // request from the present one.
+  uint64_t RequestNumber = 0;
   bool KeepAlive = true;
+  // A request was read and its response is not yet written.
   bool InRequest = false;
-  bool Ended = false;
-  bool CutAfterFlush = false;
+  // The complete response is queued or sent.
+  bool ResponseComplete = false;
+  bool CloseAfterFlush = false;
   bool Closed = false;
 };
 
 } // namespace
 
 void Server::State::listen(const Endpoint &Listen) {
-  const Tcp::endpoint Where(asio::ip::make_address(Listen.Address),
-                            Listen.Port);
+  const Tcp::endpoint Address(asio::ip::make_address(Listen.Address),
+                              Listen.Port);
   try {
-    Acceptor.open(Where.protocol());
+    Acceptor.open(Address.protocol());
     Acceptor.set_option(Tcp::acceptor::reuse_address(true));
     if (Options.sharePort())
       Acceptor.set_option(ReusePort(true));
-    Acceptor.bind(Where);
+    Acceptor.bind(Address);
     Acceptor.listen();
   } catch (const boost::system::system_error &E) {
     throw std::runtime_error("cannot listen on " + Listen.text() + ": " +
@@ -373,7 +387,7 @@
 
 void Server::State::stop() {
   Stopping = true;
-  Closing = true;
+  AnnounceClose = true;
   ErrorCode Ignored;
   Acceptor.close(Ignored);
   const std::vector<Connection *> Snapshot(Connections.begin(),
@@ -399,7 +413,7 @@
   Shared->Options = Options;
 }
 
-void Server::announceClose() { Shared->Closing = true; }
+void Server::announceClose() { Shared->AnnounceClose = true; }
 
 void Server::stopAccepting() { Shared->stop(); }
 
--- a/http/server.h
+++ b/http/server.h
@@ -1,9 +1,10 @@
-// An HTTP/1.1 server on one io_context. The handler gets each whole request
-// and a Responder with which it answers now or later, whole or streamed.
+// An HTTP/1.1 server on one io_context. The handler gets each complete request
+// and a Responder, through which it responds at once or later, with a complete
+// or a streamed response.
 //
 //   http::Server S(Io, {"127.0.0.1", 8080}, http::ServerOptions(),
-//                  [](http::Request R, std::shared_ptr<http::Responder> A) {
-//                    A->whole(200, {}, "hello");
+//                  [](http::Request Req, std::shared_ptr<http::Responder> R) {
+//                    R->whole(200, {}, "hello");
 //                  });
 #ifndef GOLDCRESTLINK_HTTP_SERVER_H
 #define GOLDCRESTLINK_HTTP_SERVER_H
@@ -20,7 +21,8 @@
 
 namespace goldcrestlink::http {
 
-/// Limits of a server. Setters return the object so that they chain.
+/// Limits and options of a server. Setters return the object so that they
+/// chain.
 class ServerOptions {
 public:
   size_t maxHeaderBytes() const { return MaxHeaderBytes; }
@@ -31,34 +33,39 @@
   Duration headerTimeout() const { return HeaderTimeout; }
   Duration bodyTimeout() const { return BodyTimeout; }
   bool sharePort() const { return SharePort; }
-  /// How long a caller may take to send a request's header.
-  ServerOptions &setHeaderTimeout(Duration D) {
-    HeaderTimeout = D;
+  /// The longest time between the first bytes of a request and the end of its
+  /// header.
+  ServerOptions &setHeaderTimeout(Duration Timeout) {
+    HeaderTimeout = Timeout;
     return *this;
   }
-  ServerOptions &setMaxHeaderBytes(size_t N) {
-    MaxHeaderBytes = N;
+  ServerOptions &setMaxHeaderBytes(size_t Bytes) {
+    MaxHeaderBytes = Bytes;
     return *this;
   }
-  ServerOptions &setMaxBodyBytes(size_t N) {
-    MaxBodyBytes = N;
+  ServerOptions &setMaxBodyBytes(size_t Bytes) {
+    MaxBodyBytes = Bytes;
     return *this;
   }
-  ServerOptions &setMaxConnections(size_t N) {
-    MaxConnections = N;
+  /// Connections accepted above this number are closed at once.
+  ServerOptions &setMaxConnections(size_t Count) {
+    MaxConnections = Count;
     return *this;
   }
-  ServerOptions &setMaxUnsentBytes(size_t N) {
-    MaxUnsentBytes = N;
+  /// A connection whose queue of unsent response bytes exceeds this is closed.
+  ServerOptions &setMaxUnsentBytes(size_t Bytes) {
+    MaxUnsentBytes = Bytes;
     return *this;
   }
-  ServerOptions &setIdleTimeout(Duration D) {
-    IdleTimeout = D;
+  /// A connection that sends no request for this long is closed.
+  ServerOptions &setIdleTimeout(Duration Timeout) {
+    IdleTimeout = Timeout;
     return *this;
   }
-  /// Several servers, one per thread, accept on the same port.
-  ServerOptions &setSharePort(bool On) {
-    SharePort = On;
+  /// Sets SO_REUSEPORT, so that several servers, one per thread, can accept on
+  /// the same port.
+  ServerOptions &setSharePort(bool Enabled) {
+    SharePort = Enabled;
     return *this;
   }
 
@@ -73,44 +80,50 @@
   bool SharePort = false;
 };
 
-/// Answers one request. All methods run on the server's thread.
+/// Responds to one request. Not thread-safe: call all methods on the server's
+/// thread. Calls after the connection has closed have no effect.
 class Responder {
 public:
   virtual ~Responder() = default;
-  /// Sends a whole answer. Precondition: nothing was sent before.
+  /// Sends a complete response. Precondition: nothing was sent before.
   virtual void whole(unsigned Status, const Headers &Fields,
                      std::string Body) = 0;
-  /// Starts a streamed answer. Precondition: nothing was sent before.
+  /// Starts a streamed response (chunked). Precondition: nothing was sent
+  /// before.
   virtual void begin(unsigned Status, const Headers &Fields) = 0;
-  /// Sends a part of a streamed answer. Precondition: begin() was called.
+  /// Sends a part of a streamed response. Precondition: begin() was called.
   virtual void data(std::string Part) = 0;
-  /// Ends a streamed answer. Precondition: begin() was called.
+  /// Ends a streamed response. Precondition: begin() was called.
   virtual void end() = 0;
-  /// Sends what is queued, then cuts the connection, so that the caller sees
-  /// the answer as incomplete.
+  /// Closes the connection once all queued bytes are sent, so that the caller
+  /// sees the response as incomplete.
   virtual void abort() = 0;
-  /// Sets what to call once if the caller goes away before the answer ended.
+  /// Sets a callback that is called at most once: when the connection closes
+  /// before the response is complete. It is posted, never called from within
+  /// another method of this object.
   virtual void onGone(std::function<void()> Callback) = 0;
 };
 
 using Handler = std::function<void(Request, std::shared_ptr<Responder>)>;
 
-/// Accepts connections until stopped. Not thread-safe: all on Io's thread.
+/// Accepts connections until stopped. Not thread-safe: all methods and the
+/// handler run on Io's thread.
 class Server {
 public:
   /// Binds at once; throws std::runtime_error if the address is taken.
   Server(boost::asio::io_context &Io, const Endpoint &Listen,
          ServerOptions Options, Handler OnRequest);
   ~Server();
-  /// The bound port, also when 0 was asked for.
+  /// The bound port; the one chosen by the kernel if \p Listen has port 0.
   uint16_t port() const;
-  /// Limits for requests read from now on.
+  /// Replaces the options. Limits apply to requests read from now on.
   void setOptions(const ServerOptions &Options);
-  /// Further answers ask callers to close their connection.
+  /// From now on, responses carry "Connection: close".
   void announceClose();
-  /// Closes the listener and idle connections; requests in progress go on.
+  /// Closes the listener and idle connections. Requests in progress continue;
+  /// their connections close after the response.
   void stopAccepting();
-  /// Requests that have no whole answer yet.
+  /// Requests whose response is not yet written.
   size_t activeRequests() const;
 
   struct State;
--- a/http/testing/http_test.cc
+++ b/http/testing/http_test.cc
@@ -1,4 +1,5 @@
-// The HTTP client and server against plain sockets that misbehave.
+// Tests the HTTP client and server against raw sockets that break the protocol,
+// respond early or disconnect.
 #include <doctest/doctest.h>
 
 #include <thread>
@@ -19,7 +20,8 @@
 
 namespace {
 
-// A peer on a thread of its own that serves one connection by a script.
+// A raw TCP server that accepts one connection and runs a script on it, on its
+// own thread.
 class Peer {
 public:
   explicit Peer(std::function<void(Tcp::socket &)> Script)
@@ -53,8 +55,9 @@
   asio::write(Socket, asio::buffer(Text), Error);
 }
 
-// What a call to a peer that writes \p Answer and then closes ends with.
-std::string outcomeOf(std::string Answer) {
+// Result of a call to a peer that writes \p Answer and closes the connection:
+// "status:body", or "broken" if the call fails.
+std::string fetchOutcome(std::string Answer) {
   Peer P([&](Tcp::socket &Socket) {
     readHead(Socket);
     writeText(Socket, Answer);
@@ -75,7 +78,7 @@
 
 } // namespace
 
-TEST_CASE("an answer counts as whole only if it is") {
+TEST_CASE("a call succeeds only if its response is complete") {
   struct Row {
     const char *Answer;
     const char *Expected;
@@ -95,11 +98,11 @@
   };
   for (const Row &R : Rows) {
     CAPTURE(R.Answer);
-    CHECK(outcomeOf(R.Answer) == R.Expected);
+    CHECK(fetchOutcome(R.Answer) == R.Expected);
   }
 }
 
-TEST_CASE("a call that is given up resets its connection") {
+TEST_CASE("cancelling a call resets its connection") {
   boost::system::error_code Seen;
   http::Client *Started = nullptr;
   asio::io_context Io;
@@ -114,9 +117,9 @@
     http::Client Client(Io);
     Started = &Client;
     http::CallHandlers On;
-    On.OnDone = [] { FAIL("a cancelled call ended"); };
+    On.OnDone = [] { FAIL("OnDone was called after cancel()"); };
     On.OnError = [](http::CallError, const std::string &) {
-      FAIL("a cancelled call ended");
+      FAIL("OnError was called after cancel()");
     };
     auto Guard = asio::make_work_guard(Io);
     Call = Started->start(P.endpoint(), http::Request(), http::CallOptions(),
@@ -127,13 +130,14 @@
   CHECK(Seen == asio::error::connection_reset);
 }
 
-TEST_CASE("an answer that comes before a long body is read is taken") {
+TEST_CASE(
+    "a response that arrives before the request body is read is accepted") {
   Peer P([&](Tcp::socket &Socket) {
     readHead(Socket);
     writeText(Socket, "HTTP/1.1 413 Too Large\r\nContent-Length: 2\r\n\r\nno");
     char Byte;
     boost::system::error_code Error;
-    // Until the client has closed; it must not reuse the connection.
+    // Reads until the client closes the connection, which it must not reuse.
     while (!Error)
       Socket.read_some(asio::buffer(&Byte, 1), Error);
   });
@@ -153,27 +157,29 @@
 
 namespace {
 
-// Sends raw text to a server with the given limits; returns all it answers.
-std::string answerTo(const std::string &Text, http::ServerOptions Limits,
-                     int &Served) {
+// Sends \p Text to a server with the given limits and returns all that the
+// server sends until it closes the connection. \p Served counts the requests
+// that reached the handler.
+std::string responseTo(const std::string &Text, http::ServerOptions Limits,
+                       int &Served) {
   asio::io_context Io;
-  http::Server Server(Io, {"127.0.0.1", 0}, Limits,
-                      [&](http::Request R, std::shared_ptr<http::Responder> A) {
-                        ++Served;
-                        A->whole(200, {},
-                                 R.Method + " " + R.Target + " " + R.Body);
-                      });
+  http::Server Server(
+      Io, {"127.0.0.1", 0}, Limits,
+      [&](http::Request Req, std::shared_ptr<http::Responder> R) {
+        ++Served;
+        R->whole(200, {}, Req.Method + " " + Req.Target + " " + Req.Body);
+      });
   std::string Out;
   std::thread Caller([&] {
-    asio::io_context Own;
-    Tcp::socket Socket(Own);
+    asio::io_context CallerIo;
+    Tcp::socket Socket(CallerIo);
     Socket.connect({asio::ip::make_address("127.0.0.1"), Server.port()});
     writeText(Socket, Text);
     boost::system::error_code Error;
-    char Part[4096];
+    char Chunk[4096];
     while (!Error) {
-      const size_t N = Socket.read_some(asio::buffer(Part), Error);
-      Out.append(Part, N);
+      const size_t Bytes = Socket.read_some(asio::buffer(Chunk), Error);
+      Out.append(Chunk, Bytes);
     }
     asio::post(Io, [&] { Io.stop(); });
   });
@@ -184,8 +190,8 @@
 
 } // namespace
 
-TEST_CASE("requests whose length is in doubt are refused and end the "
-          "connection") {
+TEST_CASE("requests of ambiguous length or beyond a limit are rejected and "
+          "close the connection") {
   struct Row {
     const char *Text;
     int Served;
@@ -219,7 +225,7 @@
   for (const Row &R : Rows) {
     CAPTURE(R.Text);
     int Served = 0;
-    const std::string Out = answerTo(
+    const std::string Out = responseTo(
         R.Text,
         http::ServerOptions().setMaxHeaderBytes(150).setMaxBodyBytes(100),
         Served);
@@ -229,21 +235,21 @@
 }
 
 TEST_CASE(
-    "after a stop, a connection ends with the answer that is on its way") {
+    "after stopAccepting(), a connection closes once its response is sent") {
   asio::io_context Io;
   int Served = 0;
   std::shared_ptr<http::Responder> Running;
   http::Server Server(Io, {"127.0.0.1", 0}, http::ServerOptions(),
-                      [&](http::Request, std::shared_ptr<http::Responder> A) {
+                      [&](http::Request, std::shared_ptr<http::Responder> R) {
                         ++Served;
-                        A->begin(200, {});
-                        A->data("first");
-                        Running = std::move(A);
+                        R->begin(200, {});
+                        R->data("first");
+                        Running = std::move(R);
                       });
   std::string Seen;
   std::thread Caller([&] {
-    asio::io_context Own;
-    Tcp::socket Socket(Own);
+    asio::io_context CallerIo;
+    Tcp::socket Socket(CallerIo);
     Socket.connect({asio::ip::make_address("127.0.0.1"), Server.port()});
     writeText(Socket, "GET /a HTTP/1.1\r\nHost: h\r\n\r\n");
     asio::streambuf Buffer;
@@ -255,7 +261,7 @@
       Running->end();
     });
     asio::read_until(Socket, Buffer, "0\r\n\r\n");
-    // The caller goes on using its open connection.
+    // A second request on the same connection must not be served.
     writeText(Socket, "GET /b HTTP/1.1\r\nHost: h\r\n\r\n");
     boost::system::error_code Error;
     char Byte;
@@ -269,20 +275,21 @@
   CHECK(Seen == "closed");
 }
 
-TEST_CASE("nothing is started for a caller that has left before it is read") {
+TEST_CASE(
+    "a request is not served if its caller disconnected before it was read") {
   asio::io_context Io;
   int Served = 0;
   http::Server Server(
       Io, {"127.0.0.1", 0}, http::ServerOptions(),
       [&](http::Request, std::shared_ptr<http::Responder>) { ++Served; });
   {
-    // The server is paused meanwhile: its context does not run.
-    asio::io_context Own;
-    Tcp::socket Socket(Own);
+    // The server is paused: its io_context does not run yet.
+    asio::io_context CallerIo;
+    Tcp::socket Socket(CallerIo);
     Socket.connect({asio::ip::make_address("127.0.0.1"), Server.port()});
     writeText(Socket, "GET /a HTTP/1.1\r\nHost: h\r\n\r\n");
     Socket.shutdown(Tcp::socket::shutdown_send);
-    // The server's close tells that it has dealt with the connection.
+    // The server closes the connection once it has handled the request.
     std::thread Runner([&] { Io.run(); });
     char Byte;
     boost::system::error_code Error;
