--- a/wire/socket.cc
+++ b/wire/socket.cc
@@ -1,7 +1,7 @@
-// ZeroMQ's descriptor is edge-triggered: after each wake-up, and after each
-// send, the socket's events are read until none is left. Each wake-up handles
-// at most MaxBatch messages before it lets other work of the thread run.
-// Queues are bounded by ZeroMQ's high-water marks.
+// ZeroMQ's file descriptor is edge-triggered, so after each wake-up and after
+// each send all pending messages are read. One wake-up handles at most
+// MaxMessagesPerWakeUp of them; the rest is posted, so that other work of the
+// thread runs in between. ZeroMQ's high-water marks bound the queues.
 #include "wire/socket.h"
 
 #include <boost/asio/io_context.hpp>
@@ -14,8 +14,11 @@
 namespace asio = boost::asio;
 
 namespace {
-constexpr int MaxBatch = 256;
-constexpr int HighWaterMark = 8192;
+constexpr int MaxMessagesPerWakeUp = 256;
+// Per peer and direction.
+constexpr int MaxQueuedMessages = 8192;
+// The delay before a reconnect starts at the first value and doubles up to the
+// second.
 constexpr int ReconnectMs = 50;
 constexpr int ReconnectMaxMs = 1000;
 } // namespace
@@ -33,26 +36,27 @@
 
 namespace {
 
-std::string_view viewOf(const zmq::message_t &M) {
-  return {static_cast<const char *>(M.data()), M.size()};
+std::string_view viewOf(const zmq::message_t &Message) {
+  return {static_cast<const char *>(Message.data()), Message.size()};
 }
 
-// Shared base of both ends: the socket, its descriptor and the read loop.
-class Pump : public std::enable_shared_from_this<Pump> {
+// Base of both socket classes: the socket, its descriptor and the read loop.
+class SocketBase : public std::enable_shared_from_this<SocketBase> {
 public:
-  Pump(asio::io_context &Io, zmq::context_t &Context, zmq::socket_type Type)
+  SocketBase(asio::io_context &Io, zmq::context_t &Context,
+             zmq::socket_type Type)
       : Io(Io), Socket(Context, Type), Descriptor(Io) {
     Socket.set(zmq::sockopt::linger, 0);
-    Socket.set(zmq::sockopt::sndhwm, HighWaterMark);
-    Socket.set(zmq::sockopt::rcvhwm, HighWaterMark);
+    Socket.set(zmq::sockopt::sndhwm, MaxQueuedMessages);
+    Socket.set(zmq::sockopt::rcvhwm, MaxQueuedMessages);
     Socket.set(zmq::sockopt::maxmsgsize, MaxFrameBytes);
   }
-  virtual ~Pump() = default;
+  virtual ~SocketBase() = default;
 
   void start() {
     Descriptor.assign(Socket.get(zmq::sockopt::fd));
-    schedule();
-    wait();
+    scheduleRead();
+    waitForEvents();
   }
 
   void stop() {
@@ -61,14 +65,15 @@
     Socket.close();
   }
 
-  // Reads soon, since events may have come up unseen during a send.
-  void schedule() {
-    if (Scheduled || Stopped)
+  // Posts a read. Needed after a send, since a send may consume the edge that
+  // signals incoming messages.
+  void scheduleRead() {
+    if (ReadScheduled || Stopped)
       return;
-    Scheduled = true;
+    ReadScheduled = true;
     asio::post(Io, [Self = shared_from_this()] {
-      Self->Scheduled = false;
-      Self->drain();
+      Self->ReadScheduled = false;
+      Self->readMessages();
     });
   }
 
@@ -77,38 +82,38 @@
   uint64_t badFrames() const { return BadFrames; }
 
 protected:
-  // Reads one message if there is one. False when there is none.
+  // Reads and handles one message; false if there is none.
   virtual bool receiveOne() = 0;
   void countBadFrame() { ++BadFrames; }
 
 private:
-  void wait() {
+  void waitForEvents() {
     Descriptor.async_wait(
         asio::posix::stream_descriptor::wait_read,
         [Self = shared_from_this()](boost::system::error_code Error) {
           if (Error || Self->Stopped)
             return;
-          Self->drain();
+          Self->readMessages();
           if (!Self->Stopped)
-            Self->wait();
+            Self->waitForEvents();
         });
   }
 
-  void drain() {
-    for (int I = 0; I < MaxBatch; ++I) {
+  void readMessages() {
+    for (int I = 0; I < MaxMessagesPerWakeUp; ++I) {
       if (Stopped)
         return;
       if (!(Socket.get(zmq::sockopt::events) & ZMQ_POLLIN) || !receiveOne())
         return;
     }
-    schedule();
+    scheduleRead();
   }
 
   asio::io_context &Io;
   zmq::socket_t Socket;
   asio::posix::stream_descriptor Descriptor;
   uint64_t BadFrames = 0;
-  bool Scheduled = false;
+  bool ReadScheduled = false;
   bool Stopped = false;
 };
 
@@ -120,15 +125,16 @@
   try {
     return Socket.send(Part, Flags).has_value();
   } catch (const zmq::error_t &) {
-    return false; // EHOSTUNREACH: the router's peer is gone.
+    return false; // EHOSTUNREACH: the peer has disconnected from the router.
   }
 }
 
 } // namespace
 
-struct RouterSocket::State : Pump {
-  State(asio::io_context &Io, zmq::context_t &Context, OnMessage On)
-      : Pump(Io, Context, zmq::socket_type::router), On(std::move(On)) {
+struct RouterSocket::State : SocketBase {
+  State(asio::io_context &Io, zmq::context_t &Context, OnMessage Handler)
+      : SocketBase(Io, Context, zmq::socket_type::router),
+        Handler(std::move(Handler)) {
     socket().set(zmq::sockopt::router_mandatory, 1);
   }
 
@@ -137,32 +143,33 @@
     if (!socket().recv(Peer, zmq::recv_flags::dontwait))
       return false;
     zmq::message_t Frame;
-    bool Extra = !Peer.more();
-    if (!Extra && !socket().recv(Frame, zmq::recv_flags::dontwait))
+    bool Malformed = !Peer.more();
+    if (!Malformed && !socket().recv(Frame, zmq::recv_flags::dontwait))
       return false;
-    while (!Extra && Frame.more()) {
+    while (!Malformed && Frame.more()) {
       zmq::message_t Rest;
       if (!socket().recv(Rest, zmq::recv_flags::dontwait) || !Rest.more())
-        Extra = true;
+        Malformed = true;
     }
     Envelope Message;
-    if (Extra || !parseFrame(viewOf(Frame), Message))
+    if (Malformed || !parseFrame(viewOf(Frame), Message))
       countBadFrame();
     else
-      On(std::string(viewOf(Peer)), Message);
+      Handler(std::string(viewOf(Peer)), Message);
     return true;
   }
 
-  OnMessage On;
+  OnMessage Handler;
 };
 
 RouterSocket::RouterSocket(asio::io_context &Io, zmq::context_t &Context,
-                           const std::string &Address, OnMessage On)
-    : Shared(std::make_shared<State>(Io, Context, std::move(On))) {
+                           const std::string &Address, OnMessage Handler)
+    : Shared(std::make_shared<State>(Io, Context, std::move(Handler))) {
   try {
     Shared->socket().bind("tcp://" + Address);
-  } catch (const zmq::error_t &E) {
-    throw std::runtime_error("cannot listen on " + Address + ": " + E.what());
+  } catch (const zmq::error_t &Error) {
+    throw std::runtime_error("cannot listen on " + Address + ": " +
+                             Error.what());
   }
   Shared->start();
 }
@@ -173,15 +180,16 @@
   const std::string Frame = serialiseFrame(Message);
   const bool Sent = sendPart(Shared->socket(), Peer, true) &&
                     sendPart(Shared->socket(), Frame, false);
-  Shared->schedule();
+  Shared->scheduleRead();
   return Sent;
 }
 
 uint64_t RouterSocket::badFrames() const { return Shared->badFrames(); }
 
-struct DealerSocket::State : Pump {
-  State(asio::io_context &Io, zmq::context_t &Context, OnMessage On)
-      : Pump(Io, Context, zmq::socket_type::dealer), On(std::move(On)) {
+struct DealerSocket::State : SocketBase {
+  State(asio::io_context &Io, zmq::context_t &Context, OnMessage Handler)
+      : SocketBase(Io, Context, zmq::socket_type::dealer),
+        Handler(std::move(Handler)) {
     socket().set(zmq::sockopt::immediate, 1);
     socket().set(zmq::sockopt::reconnect_ivl, ReconnectMs);
     socket().set(zmq::sockopt::reconnect_ivl_max, ReconnectMaxMs);
@@ -195,17 +203,17 @@
     if (Frame.more() || !parseFrame(viewOf(Frame), Message))
       countBadFrame();
     else
-      On(Message);
+      Handler(Message);
     return true;
   }
 
-  OnMessage On;
+  OnMessage Handler;
 };
 
 DealerSocket::DealerSocket(asio::io_context &Io, zmq::context_t &Context,
                            const std::string &Address,
-                           const std::string &Source, OnMessage On)
-    : Shared(std::make_shared<State>(Io, Context, std::move(On))) {
+                           const std::string &Source, OnMessage Handler)
+    : Shared(std::make_shared<State>(Io, Context, std::move(Handler))) {
   const std::string Local = Source.empty() ? "" : Source + ":0;";
   Shared->socket().connect("tcp://" + Local + Address);
   Shared->start();
@@ -215,7 +223,7 @@
 
 bool DealerSocket::send(Envelope &Message) {
   const bool Sent = sendPart(Shared->socket(), serialiseFrame(Message), false);
-  Shared->schedule();
+  Shared->scheduleRead();
   return Sent;
 }
 
--- a/wire/socket.h
+++ b/wire/socket.h
@@ -2,7 +2,7 @@
 //
 //   wire::RouterSocket R(Io, Context, "127.0.0.1:5000", OnMessage);
 //   wire::DealerSocket D(Io, Context, "127.0.0.1:5000", "", OnMessage);
-//   D.send(Envelope);   // false: not connected, and nothing has left
+//   D.send(Envelope);   // false: nothing was sent
 #ifndef GOLDCRESTLINK_WIRE_SOCKET_H
 #define GOLDCRESTLINK_WIRE_SOCKET_H
 
@@ -22,30 +22,31 @@
 
 namespace goldcrestlink::wire {
 
-/// Version of the messages; peers of another version are refused.
+/// Version of the protocol. Frames of another version are rejected.
 constexpr uint32_t WireVersion = 1;
-/// The largest frame that is read from a peer.
+/// The largest frame that is accepted from a peer.
 constexpr int64_t MaxFrameBytes = 8 * 1024 * 1024;
 
-/// Parses a frame. False for garbage, truncated frames and other wire
-/// versions. Thread-safe.
+/// Parses a frame. False if the frame is malformed or truncated, has another
+/// wire version, or carries no message. Thread-safe.
 bool parseFrame(std::string_view Frame, Envelope &Out);
 
-/// Fills in the version and serialises. Thread-safe.
+/// Sets the wire version of \p Message and serialises it. Thread-safe.
 std::string serialiseFrame(Envelope &Message);
 
-/// The server's end: many peers, each known by an opaque identity.
-/// Not thread-safe.
+/// Server side: many peers, each with an opaque identity, which the handler
+/// gets and send() takes. The handler runs on Io's thread. Not thread-safe.
 class RouterSocket {
 public:
   using OnMessage = std::function<void(const std::string &Peer, Envelope &)>;
   /// Binds; throws std::runtime_error if the address is taken.
   RouterSocket(boost::asio::io_context &Io, zmq::context_t &Context,
-               const std::string &Address, OnMessage On);
+               const std::string &Address, OnMessage Handler);
   ~RouterSocket();
-  /// Sends to \p Peer; false if the peer is gone or its queue is full.
+  /// Sends to \p Peer; false if the peer has disconnected or its queue is
+  /// full.
   bool send(const std::string &Peer, Envelope &Message);
-  /// Frames that could not be parsed since the start.
+  /// Number of frames since the start that could not be parsed.
   uint64_t badFrames() const;
 
   struct State;
@@ -54,17 +55,19 @@
   std::shared_ptr<State> Shared;
 };
 
-/// The client's end: one peer. A message is taken only while a connection
-/// stands, so that a refused send has certainly not left. Not thread-safe.
+/// Client side: one peer. A message is accepted only while a connection is
+/// established, so a message that send() rejects has not been sent. The handler
+/// runs on Io's thread. Not thread-safe.
 class DealerSocket {
 public:
   using OnMessage = std::function<void(Envelope &)>;
-  /// Starts to connect. \p Source is the local IP address to use, or empty.
+  /// Starts to connect, and reconnects after a loss of the connection.
+  /// \p Source is the local IP address to use; empty: any.
   DealerSocket(boost::asio::io_context &Io, zmq::context_t &Context,
                const std::string &Address, const std::string &Source,
-               OnMessage On);
+               OnMessage Handler);
   ~DealerSocket();
-  /// Sends; false if no connection stands or its queue is full.
+  /// Sends; false if no connection is established or its queue is full.
   bool send(Envelope &Message);
 
   struct State;
