--- a/admission/side_admission.cc
+++ b/admission/side_admission.cc
@@ -236,8 +236,8 @@
 
 void SideAdmission::onEngineUnreachable(const Time &Now) {
   if (Reachable)
-    Port.log(LineClass::Kept, "engine state=unreachable waiting=" +
-                                  std::to_string(Queue.size()));
+    Port.log(LogClass::Kept, "engine state=unreachable waiting=" +
+                                 std::to_string(Queue.size()));
   Reachable = false;
   ReportedAt = Now;
   for (const WaitingRequest &W : Queue)
--- a/admission/side_admission.h
+++ b/admission/side_admission.h
@@ -23,7 +23,7 @@
 #include "admission/engine_report.h"
 #include "admission/load_window.h"
 #include "admission/prefill_model.h"
-#include "base/line_class.h"
+#include "base/log_class.h"
 #include "catalog/types.h"
 
 namespace goldcrestlink {
@@ -103,7 +103,7 @@
   virtual void reply(const AdmissionRequest &To,
                      const AdmissionReply &Reply) = 0;
   virtual void order(const EngineOrder &Order) = 0;
-  virtual void log(LineClass Class, std::string Line) = 0;
+  virtual void log(LogClass Class, std::string Line) = 0;
 };
 
 /// Not thread-safe.
--- a/admission/side_orders.cc
+++ b/admission/side_orders.cc
@@ -38,7 +38,7 @@
   }
   if (Restarted || !Reachable) {
     Port.log(
-        LineClass::Kept,
+        LogClass::Kept,
         "engine state=up started_ms=" + std::to_string(NewReport.StartedMs) +
             " orders=" + std::to_string(NewReport.OrderCount) +
             " models=" + std::to_string(NewReport.Models.size()));
@@ -204,9 +204,9 @@
     return false;
   if (slotsUsed() >= Spec.AdapterSlots)
     return evictLeastRecentlyUsed(Now, Name);
-  Port.log(LineClass::Routine, "load adapter=" + Name + " slots_used=" +
-                                   std::to_string(slotsUsed()) +
-                                   " incoming=" + std::to_string(incoming()));
+  Port.log(LogClass::Routine, "load adapter=" + Name +
+                                  " slots_used=" + std::to_string(slotsUsed()) +
+                                  " incoming=" + std::to_string(incoming()));
   ++LoadsOrdered;
   sendOrder(Now, OrderKind::Load, Model, Adapter);
   return true;
@@ -234,7 +234,7 @@
                           std::string_view Reason) {
   const size_t Slash = Name.find('/');
   const AdapterState &S = Adapters.at(Name);
-  Port.log(LineClass::Routine,
+  Port.log(LogClass::Routine,
            "evict adapter=" + Name + " version=" + std::to_string(S.Version) +
                " for=" + std::string(Reason) +
                " idle_ms=" + std::to_string((Now - S.LastUsed).count() / 1000));
@@ -267,7 +267,7 @@
   if (Outcome == OrderOutcome::Unknown) {
     // The order stays open until a report shows a higher count; after the
     // timeout the same order is sent again.
-    Port.log(LineClass::Kept,
+    Port.log(LogClass::Kept,
              "order outcome=unknown kind=" +
                  std::string(OpenOrder->Kind == OrderKind::Load ? "load"
                                                                 : "unload") +
@@ -308,7 +308,7 @@
     OpenOrder.reset();
     return placeOrder(Now);
   }
-  Port.log(LineClass::Kept,
+  Port.log(LogClass::Kept,
            "order outcome=" +
                std::string(Outcome == OrderOutcome::Conflict ? "conflict"
                                                              : "refused") +
--- a/admission/testing/side_admission_test.cc
+++ b/admission/testing/side_admission_test.cc
@@ -59,7 +59,7 @@
     Reasons[To.Id] = std::string(R.Reason);
   }
   void order(const EngineOrder &O) override { Orders.push_back(O); }
-  void log(LineClass, std::string) override {}
+  void log(LogClass, std::string) override {}
 
   std::map<uint64_t, Verdict> Replies;
   std::map<uint64_t, uint64_t> Versions;
--- a/base/line_class.h
+++ b/base/log_class.h
@@ -1,9 +1,9 @@
 // The class of a log line decides which lines are dropped when there are too
 // many.
 //
-//   Log.push(LineClass::Kept, "end id=r1 outcome=no_room ...");
-#ifndef GOLDCRESTLINK_BASE_LINE_CLASS_H
-#define GOLDCRESTLINK_BASE_LINE_CLASS_H
+//   Log.push(LogClass::Kept, "end id=r1 outcome=no_room ...");
+#ifndef GOLDCRESTLINK_BASE_LOG_CLASS_H
+#define GOLDCRESTLINK_BASE_LOG_CLASS_H
 
 namespace goldcrestlink {
 
@@ -13,4 +13,4 @@
 
 } // namespace goldcrestlink
 
-#endif // GOLDCRESTLINK_BASE_LINE_CLASS_H
+#endif // GOLDCRESTLINK_BASE_LOG_CLASS_H
--- a/bench/capacity.cc
+++ b/bench/capacity.cc
@@ -14,12 +14,12 @@
 #include "base/hash.h"
 #include "config/bundle.h"
 #include "config/config_replica.h"
-#include "entry/entry_machine.h"
+#include "entry/entry_state_machine.h"
 #include "membership/shard_lease.h"
 #include "placement/load_broker.h"
 #include "routing/rendezvous.h"
-#include "side/side_machine.h"
-#include "testing/fleet.h"
+#include "side/side_state_machine.h"
+#include "testing/test_deployment.h"
 
 using namespace goldcrestlink;
 
@@ -136,14 +136,15 @@
   testing::DeploymentOptions Shape;
   Shape.Engines = 4;
   Shape.Adapters = 45000;
-  testing::TestDeployment Fleet(Shape, Programs, "/tmp/goldcrestlink-capacity");
-  Fleet.start();
+  testing::TestDeployment Deployment(Shape, Programs,
+                                     "/tmp/goldcrestlink-capacity");
+  Deployment.start();
   for (uint64_t Generation = 2; Generation <= 4; ++Generation) {
-    ++Fleet.Shape.Adapters;
+    ++Deployment.Shape.Adapters;
     const Time Start = currentTime().Steady;
-    Fleet.apply();
+    Deployment.apply();
     const Time Applied = currentTime().Steady;
-    while (!Fleet.allHaveGeneration(Generation))
+    while (!Deployment.allHaveGeneration(Generation))
       testing::pauseFor(5);
     std::printf("45,000 adapters, one added: tool %.2f s, then in force at "
                 "all processes after %.2f s\n",
@@ -325,9 +326,9 @@
     testing::DeploymentOptions Shape;
     Shape.Engines = Engines;
     Shape.Adapters = 3000;
-    testing::TestDeployment Fleet(Shape, Programs,
-                                  "/tmp/goldcrestlink-capacity");
-    Fleet.start();
+    testing::TestDeployment Deployment(Shape, Programs,
+                                       "/tmp/goldcrestlink-capacity");
+    Deployment.start();
     testing::pauseFor(3000);
     const auto Used = [](const std::vector<testing::ManagedProcess> &Group) {
       double Sum = 0;
@@ -335,17 +336,19 @@
         Sum += M.Child->processorSeconds();
       return Sum / static_cast<double>(Group.size());
     };
-    const double Before[] = {Used(Fleet.Entries), Used(Fleet.EngineSides),
-                             Used(Fleet.ServiceSides)};
+    const double Before[] = {Used(Deployment.Entries),
+                             Used(Deployment.EngineSides),
+                             Used(Deployment.ServiceSides)};
     testing::pauseFor(Seconds * 1000);
-    const double After[] = {Used(Fleet.Entries), Used(Fleet.EngineSides),
-                            Used(Fleet.ServiceSides)};
+    const double After[] = {Used(Deployment.Entries),
+                            Used(Deployment.EngineSides),
+                            Used(Deployment.ServiceSides)};
     std::printf("  %3zu", Engines);
     for (size_t I = 0; I < 3; ++I)
       std::printf(" %5.2f", 100 * (After[I] - Before[I]) / Seconds);
     std::printf("\n  platform calls so far:");
     std::istringstream Counts(
-        Fleet.admin(Fleet.Platform.Http, "/admin/counts", "GET"));
+        Deployment.admin(Deployment.Platform.Http, "/admin/counts", "GET"));
     for (std::string Line; std::getline(Counts, Line);)
       std::printf(" %s;", Line.c_str());
     std::printf("\n");
--- a/bench/overhead.cc
+++ b/bench/overhead.cc
@@ -16,7 +16,7 @@
 #include <boost/asio/steady_timer.hpp>
 
 #include "http/client.h"
-#include "testing/fleet.h"
+#include "testing/test_deployment.h"
 
 using namespace goldcrestlink;
 
--- a/bench/scenario.cc
+++ b/bench/scenario.cc
@@ -21,7 +21,7 @@
 #include "bench/scenario_report.h"
 #include "bench/workload.h"
 #include "http/client.h"
-#include "testing/fleet.h"
+#include "testing/test_deployment.h"
 
 using namespace goldcrestlink;
 using namespace goldcrestlink::bench;
@@ -68,12 +68,13 @@
 class ScenarioRun {
 public:
   explicit ScenarioRun(RunOptions InOptions)
-      : Opts(std::move(InOptions)), Fleet(shape(), Opts.Programs, Opts.Work),
-        Client(Io), Rand(Opts.Seed + 77) {}
+      : Opts(std::move(InOptions)),
+        Deployment(shape(), Opts.Programs, Opts.Work), Client(Io),
+        Rand(Opts.Seed + 77) {}
 
   int run() {
     Spec = makeSpec();
-    Fleet.start();
+    Deployment.start();
     Start = currentTime().Steady + fromSeconds(WarmUpSeconds);
     for (const Arrival &A :
          makeArrivals(Spec, Opts.Seed, -WarmUpSeconds, MeasuredSeconds))
@@ -112,7 +113,8 @@
   // second.
   double throughputBound() const {
     const double Share = popularShare(Spec, ResidentAdapters);
-    return std::min(ComputeBoundPerSecond, Fleet.Shape.StoreRate / (1 - Share));
+    return std::min(ComputeBoundPerSecond,
+                    Deployment.Shape.StoreRate / (1 - Share));
   }
 
   WorkloadSpec makeSpec() {
@@ -151,10 +153,10 @@
   void scheduleEvents() {
     if (Opts.Name == "outage") {
       scheduleAt(15, [this] {
-        Fleet.admin(Fleet.Platform.Http, "/admin/outage?on=1");
+        Deployment.admin(Deployment.Platform.Http, "/admin/outage?on=1");
       });
       scheduleAt(45, [this] {
-        Fleet.admin(Fleet.Platform.Http, "/admin/outage?on=0");
+        Deployment.admin(Deployment.Platform.Http, "/admin/outage?on=0");
       });
     }
     if (Opts.Name == "runner-kill")
@@ -165,10 +167,10 @@
                    [this, I] { crashEngine(I); });
     if (Opts.Name == "silent")
       scheduleAt(20, [this] {
-        for (size_t I = 0; I < Fleet.EngineSides.size(); I += 2)
-          Fleet.admin(Fleet.Relay.Admin,
-                      "/admin/silence?source=127.0.0.2&target=" +
-                          Fleet.EngineSides[I].Admin.text());
+        for (size_t I = 0; I < Deployment.EngineSides.size(); I += 2)
+          Deployment.admin(Deployment.Relay.Admin,
+                           "/admin/silence?source=127.0.0.2&target=" +
+                               Deployment.EngineSides[I].Admin.text());
       });
     if (Opts.Name == "poison")
       for (size_t I = 0; I < PoisonSends; ++I)
@@ -177,7 +179,7 @@
   }
 
   void crashEngine(size_t I) {
-    Fleet.admin(Fleet.Engines[I].Admin, "/admin/crash?down_ms=10000");
+    Deployment.admin(Deployment.Engines[I].Admin, "/admin/crash?down_ms=10000");
   }
 
   http::Request completion(const std::string &Model, const std::string &Tag,
@@ -218,7 +220,7 @@
     R->Tag = "q" + std::to_string(++Counter);
     const std::string Model = "a" + std::to_string(A.Adapter) + "@1";
     start(R, completion(Model, R->Tag, "report " + R->Tag, A.Tokens, A.Rank),
-          Counter % Fleet.Entries.size(), Model);
+          Counter % Deployment.Entries.size(), Model);
     Record.Results.push_back(R);
   }
 
@@ -229,7 +231,7 @@
     R->Tokens = 5;
     R->Tag = "poison";
     start(R, completion("a1@1", "poison", "POISON", 5, 1),
-          I % Fleet.Entries.size(), "a1@1");
+          I % Deployment.Entries.size(), "a1@1");
   }
 
   void start(const std::shared_ptr<RequestResult> &R, http::Request Request,
@@ -252,10 +254,10 @@
     On.OnError = [this, Answer, Model](http::CallError, const std::string &) {
       finish(*Answer, false, Model);
     };
-    Client.start(Fleet.Entries[Entry].Http, std::move(Request),
+    Client.start(Deployment.Entries[Entry].Http, std::move(Request),
                  http::CallOptions()
-                     .setSilenceTimeout(fromSeconds(
-                         RankDeadlineSeconds[R->Rank] + HangGraceSeconds))
+                     .setReadTimeout(fromSeconds(RankDeadlineSeconds[R->Rank] +
+                                                 HangGraceSeconds))
                      .setFreshConnection(true),
                  std::move(On));
   }
@@ -326,10 +328,10 @@
     auto O = std::make_shared<Order>();
     O->Key = "order-" + std::to_string(++OrderCounter);
     O->Issued = std::to_string(unixMillis(currentTime().Wall));
-    postOrder(O, OrderCounter % Fleet.Entries.size(), elapsedSeconds());
+    postOrder(O, OrderCounter % Deployment.Entries.size(), elapsedSeconds());
     if (Resend)
       scheduleAt(elapsedSeconds() + ResendAfterSeconds, [this, O] {
-        postOrder(O, (OrderCounter + 1) % Fleet.Entries.size(),
+        postOrder(O, (OrderCounter + 1) % Deployment.Entries.size(),
                   elapsedSeconds());
       });
   }
@@ -344,7 +346,7 @@
     R.Body = O->Key;
     const Time Sent = currentTime().Steady;
     Client.fetch(
-        Fleet.Entries[Entry].Http, std::move(R),
+        Deployment.Entries[Entry].Http, std::move(R),
         http::CallOptions().setFreshConnection(true),
         [this, O, At, Sent](const http::Response *A, http::CallError) {
           std::string End = "no_answer";
@@ -368,9 +370,9 @@
     std::map<std::string, double> Out;
     for (const char *Name : {"steps", "sequence_steps", "adapter_steps",
                              "loads", "violations", "crashes"})
-      Out[Name] = static_cast<double>(Fleet.sumEngineCounter(Name));
-    for (const testing::ManagedProcess &Side : Fleet.EngineSides) {
-      std::istringstream Lines(Fleet.admin(Side.Http, "/metrics", "GET"));
+      Out[Name] = static_cast<double>(Deployment.sumEngineCounter(Name));
+    for (const testing::ManagedProcess &Side : Deployment.EngineSides) {
+      std::istringstream Lines(Deployment.admin(Side.Http, "/metrics", "GET"));
       for (std::string Line; std::getline(Lines, Line);) {
         const size_t End = Line.find('{');
         const size_t Value = Line.rfind(' ');
@@ -383,7 +385,7 @@
 
   void checkGuarantees() {
     std::set<std::string> Ran;
-    for (const std::string &Tag : Fleet.runs(Fleet.Engines))
+    for (const std::string &Tag : Deployment.runs(Deployment.Engines))
       Ran.insert(Tag);
     for (const auto &R : Record.Results) {
       if (!R->Ended)
@@ -391,7 +393,7 @@
       if (R->Outcome == "not_run" && Ran.count(R->Tag))
         Record.Violations.push_back("not_run but ran " + R->Tag);
     }
-    for (const std::string &Line : Fleet.runs(Fleet.Services)) {
+    for (const std::string &Line : Deployment.runs(Deployment.Services)) {
       const size_t Space = Line.rfind(' ');
       const std::string Key = Line.substr(0, Space);
       if (Key.rfind("order-", 0) != 0)
@@ -413,7 +415,7 @@
     Info.Seed = Opts.Seed;
     Info.ComputeBound = ComputeBoundPerSecond;
     Info.StoreBound =
-        Fleet.Shape.StoreRate / (1 - popularShare(Spec, ResidentAdapters));
+        Deployment.Shape.StoreRate / (1 - popularShare(Spec, ResidentAdapters));
     Info.RequestsPerSecond = Spec.RequestsPerSecond;
     Info.MeasuredSeconds = MeasuredSeconds;
     printReport(Info, Record);
@@ -422,7 +424,7 @@
   RunOptions Opts;
   WorkloadSpec Spec;
   boost::asio::io_context Io{1};
-  testing::TestDeployment Fleet;
+  testing::TestDeployment Deployment;
   http::Client Client;
   Random Rand;
   Time Start{};
--- a/cli/fleet_view.cc
+++ b/cli/fleet_view.cc
@@ -8,7 +8,7 @@
 #include <nlohmann/json.hpp>
 
 #include "base/random.h"
-#include "daemon/store_follower.h"
+#include "daemon/store_watcher.h"
 
 namespace goldcrestlink {
 
--- a/cli/main.cc
+++ b/cli/main.cc
@@ -14,7 +14,7 @@
 
 #include "cli/apply.h"
 #include "cli/fleet_view.h"
-#include "cli/request_story.h"
+#include "cli/request_timeline.h"
 #include "config/settings.h"
 #include "http/client.h"
 
@@ -155,9 +155,9 @@
     R.Target = Target;
     std::string Body;
     try {
-      Body = http::fetchNow(
+      Body = http::fetchBlocking(
                  http::Endpoint::parse(Process), R,
-                 http::CallOptions().setSilenceTimeout(std::chrono::seconds(3)))
+                 http::CallOptions().setReadTimeout(std::chrono::seconds(3)))
                  .Body;
     } catch (const std::runtime_error &E) {
       Body = std::string(E.what()) + "\n";
--- a/cli/request_story.cc
+++ b/cli/request_timeline.cc
@@ -3,7 +3,7 @@
 // adds the lines about these. Each entry numbers its admission requests from a
 // random start, so that a number identifies one admission request across
 // entries.
-#include "cli/request_story.h"
+#include "cli/request_timeline.h"
 
 #include <algorithm>
 #include <charconv>
--- a/cli/request_story.h
+++ b/cli/request_timeline.h
@@ -5,8 +5,8 @@
 //
 //   std::vector<LogLine> Lines = readLogLines("entry-1", Text);
 //   for (const LogLine &L : requestTimeline("r17", Lines)) ...
-#ifndef GOLDCRESTLINK_CLI_REQUEST_STORY_H
-#define GOLDCRESTLINK_CLI_REQUEST_STORY_H
+#ifndef GOLDCRESTLINK_CLI_REQUEST_TIMELINE_H
+#define GOLDCRESTLINK_CLI_REQUEST_TIMELINE_H
 
 #include <span>
 #include <string>
@@ -42,4 +42,4 @@
 
 } // namespace goldcrestlink
 
-#endif // GOLDCRESTLINK_CLI_REQUEST_STORY_H
+#endif // GOLDCRESTLINK_CLI_REQUEST_TIMELINE_H
--- a/cli/testing/cli_test.cc
+++ b/cli/testing/cli_test.cc
@@ -3,7 +3,7 @@
 #include <doctest/doctest.h>
 
 #include "cli/fleet_view.h"
-#include "cli/request_story.h"
+#include "cli/request_timeline.h"
 #include "testing/platform_standin.h"
 #include "testing/process.h"
 
--- a/config/config_replica.h
+++ b/config/config_replica.h
@@ -5,7 +5,7 @@
 //   ConfigReplica Replica;
 //   std::vector<std::string> Missing = Replica.offerHead(HeadText);
 //   for (...) Replica.addChunk(Hash, Data);
-//   if (auto Set = Replica.takeReady(Findings)) publish(Set);
+//   if (auto Set = Replica.activatePending(Findings)) publish(Set);
 #ifndef GOLDCRESTLINK_CONFIG_CONFIG_REPLICA_H
 #define GOLDCRESTLINK_CONFIG_CONFIG_REPLICA_H
 
--- a/daemon/belief_codec.cc
+++ b/daemon/catalog_codec.cc
@@ -1,5 +1,5 @@
 // Copies field by field.
-#include "daemon/belief_codec.h"
+#include "daemon/catalog_codec.h"
 
 #include <stdexcept>
 
--- a/daemon/belief_codec.h
+++ b/daemon/catalog_codec.h
@@ -4,8 +4,8 @@
 //
 //   wire::Envelope E = encodeDigest(Catalog.revisions());
 //   auto Update = decodeCatalogUpdate(E.beliefs());
-#ifndef GOLDCRESTLINK_DAEMON_BELIEF_CODEC_H
-#define GOLDCRESTLINK_DAEMON_BELIEF_CODEC_H
+#ifndef GOLDCRESTLINK_DAEMON_CATALOG_CODEC_H
+#define GOLDCRESTLINK_DAEMON_CATALOG_CODEC_H
 
 #include "catalog/catalog.h"
 #include "wire/generated/messages.pb.h"
@@ -25,4 +25,4 @@
 
 } // namespace goldcrestlink
 
-#endif // GOLDCRESTLINK_DAEMON_BELIEF_CODEC_H
+#endif // GOLDCRESTLINK_DAEMON_CATALOG_CODEC_H
--- a/daemon/belief_exchange.cc
+++ b/daemon/catalog_exchange.cc
@@ -1,5 +1,5 @@
 // The minimum interval between requests bounds the cost of a burst of digests.
-#include "daemon/belief_exchange.h"
+#include "daemon/catalog_exchange.h"
 
 namespace goldcrestlink {
 
--- a/daemon/belief_exchange.h
+++ b/daemon/catalog_exchange.h
@@ -3,12 +3,12 @@
 //
 //   if (auto E = Exchange.requestMissing(Now, Theirs, Own)) send(*E);
 //   wire::Envelope E = catalogUpdateFor(Message.belief_request(), Catalog);
-#ifndef GOLDCRESTLINK_DAEMON_BELIEF_EXCHANGE_H
-#define GOLDCRESTLINK_DAEMON_BELIEF_EXCHANGE_H
+#ifndef GOLDCRESTLINK_DAEMON_CATALOG_EXCHANGE_H
+#define GOLDCRESTLINK_DAEMON_CATALOG_EXCHANGE_H
 
 #include <optional>
 
-#include "daemon/belief_codec.h"
+#include "daemon/catalog_codec.h"
 
 namespace goldcrestlink {
 
@@ -38,4 +38,4 @@
 
 } // namespace goldcrestlink
 
-#endif // GOLDCRESTLINK_DAEMON_BELIEF_EXCHANGE_H
+#endif // GOLDCRESTLINK_DAEMON_CATALOG_EXCHANGE_H
--- a/daemon/config_keeper.cc
+++ b/daemon/config_updater.cc
@@ -2,7 +2,7 @@
 // a time if it is a watcher, and by a slow poll with jitter in case an update
 // is missed. The poll is faster until the first configuration is in force. At
 // most MaxChunkReads chunk reads are open at once.
-#include "daemon/config_keeper.h"
+#include "daemon/config_updater.h"
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/steady_timer.hpp>
--- a/daemon/config_keeper.h
+++ b/daemon/config_updater.h
@@ -6,8 +6,8 @@
 //   ConfigUpdater Updater(Io, Client, Seed, OnConfig, RequestFromPeer);
 //   Updater.start();
 //   Updater.onPeerReply(Peer, Reply);   // from another process
-#ifndef GOLDCRESTLINK_DAEMON_CONFIG_KEEPER_H
-#define GOLDCRESTLINK_DAEMON_CONFIG_KEEPER_H
+#ifndef GOLDCRESTLINK_DAEMON_CONFIG_UPDATER_H
+#define GOLDCRESTLINK_DAEMON_CONFIG_UPDATER_H
 
 #include <functional>
 #include <memory>
@@ -67,4 +67,4 @@
 
 } // namespace goldcrestlink
 
-#endif // GOLDCRESTLINK_DAEMON_CONFIG_KEEPER_H
+#endif // GOLDCRESTLINK_DAEMON_CONFIG_UPDATER_H
--- a/daemon/decision_log.cc
+++ b/daemon/decision_log.cc
@@ -41,7 +41,7 @@
     Q.set_capacity(QueueLines);
 }
 
-void DecisionLog::push(LineClass Class, std::string Line) {
+void DecisionLog::push(LogClass Class, std::string Line) {
   if (!Queues[index(Class)].try_push(withTimestamp(Line)))
     Dropped[index(Class)].fetch_add(1, std::memory_order_relaxed);
 }
@@ -56,18 +56,17 @@
     Tokens = std::min(Rate, Tokens + Rate * seconds(Now - RefilledAt));
   RefilledAt = Now;
   std::string Line;
-  while (Tokens >= 1 && Queues[index(LineClass::Kept)].try_pop(Line))
+  while (Tokens >= 1 && Queues[index(LogClass::Kept)].try_pop(Line))
     write(Line);
   // Takes at most the lines queued at this point, so that the drain ends even
   // if other threads keep pushing.
-  for (auto Remaining = Queues[index(LineClass::Routine)].size();
-       Remaining > 0 && Queues[index(LineClass::Routine)].try_pop(Line);
+  for (auto Remaining = Queues[index(LogClass::Routine)].size();
+       Remaining > 0 && Queues[index(LogClass::Routine)].try_pop(Line);
        --Remaining) {
     if (Tokens >= 1 + DropReportTokens)
       write(Line);
     else
-      Dropped[index(LineClass::Routine)].fetch_add(1,
-                                                   std::memory_order_relaxed);
+      Dropped[index(LogClass::Routine)].fetch_add(1, std::memory_order_relaxed);
   }
   reportDropped();
   // A killed process would lose the lines in the stdio buffer.
@@ -75,19 +74,19 @@
 }
 
 void DecisionLog::reportDropped() {
-  const uint64_t Total = dropped(LineClass::Routine) + dropped(LineClass::Kept);
+  const uint64_t Total = dropped(LogClass::Routine) + dropped(LogClass::Kept);
   if (Total == DroppedReported || Tokens < DropReportTokens)
     return;
   write(withTimestamp(
-      "log dropped_routine=" + std::to_string(dropped(LineClass::Routine)) +
-      " dropped_kept=" + std::to_string(dropped(LineClass::Kept))));
+      "log dropped_routine=" + std::to_string(dropped(LogClass::Routine)) +
+      " dropped_kept=" + std::to_string(dropped(LogClass::Kept))));
   DroppedReported = Total;
 }
 
 void DecisionLog::finish(Time Now) {
   drain(Now);
   std::string Line;
-  while (Queues[index(LineClass::Kept)].try_pop(Line))
+  while (Queues[index(LogClass::Kept)].try_pop(Line))
     Out(Line);
   std::fflush(stdout);
 }
--- a/daemon/decision_log.h
+++ b/daemon/decision_log.h
@@ -4,7 +4,7 @@
 // queued for a later drain. Traffic threads never wait for the log.
 //
 //   DecisionLog Log(2000);
-//   Log.push(LineClass::Routine, "send id=...");   // any thread
+//   Log.push(LogClass::Routine, "send id=...");   // any thread
 //   Log.drain(Now);                                // control thread, regularly
 #ifndef GOLDCRESTLINK_DAEMON_DECISION_LOG_H
 #define GOLDCRESTLINK_DAEMON_DECISION_LOG_H
@@ -15,7 +15,7 @@
 
 #include <tbb/concurrent_queue.h>
 
-#include "base/line_class.h"
+#include "base/log_class.h"
 #include "base/time.h"
 
 namespace goldcrestlink {
@@ -31,18 +31,18 @@
   DecisionLog(int64_t LinesPerSecond, Sink Out);
   /// Queues a line, prefixed with the current time of day, or counts it as
   /// dropped if the queue of its class is full. Never blocks.
-  void push(LineClass Class, std::string Line);
+  void push(LogClass Class, std::string Line);
   /// Writes queued lines within the rate, then the numbers of dropped lines if
   /// they have grown since they were last written.
   void drain(Time Now);
   /// Writes all queued kept lines regardless of the rate; for the end of the
   /// process.
   void finish(Time Now);
-  uint64_t dropped(LineClass Class) const { return Dropped[index(Class)]; }
+  uint64_t dropped(LogClass Class) const { return Dropped[index(Class)]; }
 
 private:
   using Queue = tbb::concurrent_bounded_queue<std::string>;
-  static size_t index(LineClass Class) { return static_cast<size_t>(Class); }
+  static size_t index(LogClass Class) { return static_cast<size_t>(Class); }
   void write(const std::string &Line);
   void reportDropped();
 
--- a/daemon/entry_daemon.cc
+++ b/daemon/entry_daemon.cc
@@ -13,10 +13,10 @@
 #include <zmq.hpp>
 
 #include "base/random.h"
-#include "daemon/config_keeper.h"
+#include "daemon/config_updater.h"
 #include "daemon/decision_log.h"
-#include "daemon/entry_shard.h"
-#include "daemon/planned_stop.h"
+#include "daemon/entry_worker.h"
+#include "daemon/graceful_shutdown.h"
 #include "daemon/request_metrics.h"
 #include "membership/cell_watchers.h"
 
@@ -83,7 +83,7 @@
 private:
   void startWorkers() {
     EntrySinks Sinks;
-    Sinks.Log = [this](LineClass Class, std::string Line) {
+    Sinks.Log = [this](LogClass Class, std::string Line) {
       Log.push(Class, std::move(Line));
     };
     Sinks.Record = [this](entry::RequestRecord R) {
--- a/daemon/entry_traffic.cc
+++ b/daemon/entry_traffic.cc
@@ -15,9 +15,9 @@
 #include <zmq.hpp>
 
 #include "daemon/admission_codec.h"
-#include "daemon/belief_exchange.h"
+#include "daemon/catalog_exchange.h"
 #include "daemon/forward_metrics.h"
-#include "daemon/side_link.h"
+#include "daemon/side_connection.h"
 #include "forward/forwarder.h"
 #include "http/client.h"
 #include "http/server.h"
@@ -40,7 +40,7 @@
 // many it has received messages from.
 constexpr size_t InitialEntryCount = 4;
 // Long enough that a call to a silent upstream is ended by its own deadline.
-constexpr Duration SilenceTimeout = std::chrono::minutes(10);
+constexpr Duration ReadTimeout = std::chrono::minutes(10);
 
 // Digests are sent to every side at this interval, and at once after a change.
 constexpr Duration DigestInterval = std::chrono::seconds(1);
@@ -105,7 +105,7 @@
   void onCaller(http::Request Request,
                 std::shared_ptr<http::Responder> Answer) {
     const uint64_t Id = ++LastCallId;
-    Answer->onGone([this, Id] {
+    Answer->onDisconnect([this, Id] {
       if (OpenCalls.erase(Id) > 0) {
         Forwarder.onCallerGone(now(), Id);
         CallCount = OpenCalls.size();
@@ -118,9 +118,9 @@
 
   void onReadiness(const http::Request &Request,
                    http::Responder &Answer) const {
-    if (!platform::isReadinessQuestion(Request))
-      return Answer.whole(404, {}, "");
-    Answer.whole(!Stopping && Forwarder.hasConfig() ? 200 : 503, {}, "");
+    if (!platform::isReadinessCheck(Request))
+      return Answer.respond(404, {}, "");
+    Answer.respond(!Stopping && Forwarder.hasConfig() ? 200 : 503, {}, "");
   }
 
   // ForwardPort.
@@ -142,9 +142,9 @@
             const forward::SendOptions &Terms) override {
     http::CallOptions Options;
     Options.setConnectTimeout(ConnectTimeout)
-        .setSilenceTimeout(SilenceTimeout)
+        .setReadTimeout(ReadTimeout)
         .setMaxIdleAge(MaxIdleConnectionAge)
-        .setRepeatReads(false);
+        .setRetryGets(false);
     http::CallHandlers On;
     On.OnHead = [this, Id,
                  RequestId = Call.RequestId](const http::ResponseHead &Head) {
@@ -201,7 +201,7 @@
   void answerInFull(uint64_t Call, unsigned Status, const http::Headers &Fields,
                     std::string Body) override {
     if (auto Answer = responderOf(Call, true))
-      Answer->whole(Status, Fields, std::move(Body));
+      Answer->respond(Status, Fields, std::move(Body));
   }
   void answerBegin(uint64_t Call, unsigned Status,
                    const http::Headers &Fields) override {
@@ -224,11 +224,12 @@
                        std::string_view RequestId, Duration RetryAfter,
                        forward::EndReason Why) override {
     if (auto Answer = responderOf(Call, true))
-      Answer->whole(Status, platform::ownAnswerFields(RequestId, RetryAfter),
-                    std::string(forward::endReasonName(Why)) + "\n");
+      Answer->respond(Status,
+                      platform::errorResponseFields(RequestId, RetryAfter),
+                      std::string(forward::endReasonName(Why)) + "\n");
   }
 
-  void log(LineClass Class, std::string Line) override {
+  void log(LogClass Class, std::string Line) override {
     Sinks.Log(Class, std::move(Line));
   }
 
@@ -267,7 +268,7 @@
     wire::Envelope E =
         catalogUpdateFor(Message.belief_request(), *KnownCatalog);
     if (!PeerSocket.send(Peer, E))
-      Sinks.Log(LineClass::Routine, "beliefs outcome=peer_gone");
+      Sinks.Log(LogClass::Routine, "beliefs outcome=peer_gone");
   }
 
   bool onCatalogMessage(SideConnection &From, wire::Envelope &Message) {
--- a/daemon/entry_traffic.h
+++ b/daemon/entry_traffic.h
@@ -12,7 +12,7 @@
 #include <memory>
 #include <string>
 
-#include "base/line_class.h"
+#include "base/log_class.h"
 #include "catalog/catalog.h"
 #include "config/settings.h"
 
@@ -21,7 +21,7 @@
 /// Where the traffic thread sends its output. All are called on that thread, at
 /// any time, and must not block.
 struct TrafficSinks {
-  std::function<void(LineClass, std::string)> Log;
+  std::function<void(LogClass, std::string)> Log;
   /// Newer catalog state received from another process.
   std::function<void(CatalogUpdate)> CatalogUpdates;
   /// The number of running entries, this one included, when it changes.
--- a/daemon/entry_shard.cc
+++ b/daemon/entry_worker.cc
@@ -3,7 +3,7 @@
 // back only after all actions of an event have been performed, so the state
 // machine is never re-entered. Streams are bounded by the HTTP server's limit
 // on unsent data, requests by the state machine's limit.
-#include "daemon/entry_shard.h"
+#include "daemon/entry_worker.h"
 
 #include <unordered_map>
 
@@ -13,8 +13,8 @@
 #include <boost/asio/steady_timer.hpp>
 #include <glog/logging.h>
 
-#include "daemon/side_links.h"
-#include "entry/entry_machine.h"
+#include "daemon/side_connection_pool.h"
+#include "entry/entry_state_machine.h"
 #include "entry/request_parser.h"
 #include "http/server.h"
 
@@ -30,7 +30,7 @@
       .setMaxHeaderBytes(static_cast<size_t>(ProcessSettings.MaxHeaderBytes))
       .setMaxBodyBytes(static_cast<size_t>(ProcessSettings.MaxBodyBytes))
       .setMaxConnections(static_cast<size_t>(ProcessSettings.MaxConnections))
-      .setSharePort(ProcessSettings.TrafficThreads > 1);
+      .setReusePort(ProcessSettings.TrafficThreads > 1);
 }
 
 entry::EntryStateMachine::Options
@@ -105,16 +105,16 @@
 void EntryWorker::State::onStatusRequest(const http::Request &Request,
                                          http::Responder &Answer) {
   if (Request.path() == "/healthz")
-    return Answer.whole(200, {{"Content-Type", "text/plain"}}, "ok\n");
+    return Answer.respond(200, {{"Content-Type", "text/plain"}}, "ok\n");
   if (Request.path() == "/readyz") {
     const bool Ready = Machine && !Stopping;
-    return Answer.whole(Ready ? 200 : 503, {{"Content-Type", "text/plain"}},
-                        Ready ? "ready\n" : "not ready\n");
+    return Answer.respond(Ready ? 200 : 503, {{"Content-Type", "text/plain"}},
+                          Ready ? "ready\n" : "not ready\n");
   }
   if (Request.path() == "/explain" && Machine) {
     const std::string_view Model = Request.query("model");
     const size_t At = std::min(Model.find('@'), Model.size());
-    return Answer.whole(
+    return Answer.respond(
         200, {{"Content-Type", "text/plain"}},
         Machine->explain(currentTime(), Model.substr(0, At),
                          Model.substr(std::min(At + 1, Model.size()))));
@@ -125,14 +125,15 @@
   if (Machine)
     for (const std::string &Name : Machine->availableUpstreams(currentTime()))
       Text += "available " + Name + "\n";
-  Answer.whole(200, {{"Content-Type", "text/plain"}}, Text);
+  Answer.respond(200, {{"Content-Type", "text/plain"}}, Text);
 }
 
 void EntryWorker::State::onMetricsRequest(
     std::shared_ptr<http::Responder> Answer) {
   Sinks.Metrics([this, Answer](std::string Text) {
     boost::asio::post(Io, [Answer, Text = std::move(Text)] {
-      Answer->whole(200, {{"Content-Type", "text/plain; version=0.0.4"}}, Text);
+      Answer->respond(200, {{"Content-Type", "text/plain; version=0.0.4"}},
+                      Text);
     });
   });
 }
@@ -140,8 +141,8 @@
 void EntryWorker::State::refuse(http::Responder &Answer, Code Why,
                                 const std::string &Id,
                                 std::string_view Detail) {
-  Answer.whole(httpStatus(Why), {{"Content-Type", JsonType}},
-               entry::errorBody(Why, Outcome::NotRun, Id, Detail));
+  Answer.respond(httpStatus(Why), {{"Content-Type", JsonType}},
+                 entry::errorBody(Why, Outcome::NotRun, Id, Detail));
 }
 
 void EntryWorker::State::onHttp(http::Request Request,
@@ -162,7 +163,7 @@
   if (!Parsed.Problem.empty())
     return refuse(*Answer, Code::BadRequest, Id, Parsed.Problem);
   Responders.emplace(Id, Answer);
-  Answer->onGone([this, Id = std::string(Id)] {
+  Answer->onDisconnect([this, Id = std::string(Id)] {
     if (!Responders.erase(Id))
       return;
     entry::Actions Out;
@@ -236,10 +237,10 @@
 
 void EntryWorker::State::perform(entry::DeliverFullAnswer &Action) {
   if (auto Answer = takeResponder(Action.RequestId))
-    Answer->whole(Action.Status,
-                  {{"Content-Type", Action.ContentType},
-                   {"X-Request-Id", Action.RequestId}},
-                  std::move(Action.Body));
+    Answer->respond(Action.Status,
+                    {{"Content-Type", Action.ContentType},
+                     {"X-Request-Id", Action.RequestId}},
+                    std::move(Action.Body));
 }
 
 void EntryWorker::State::perform(entry::DeliverError &Action) {
@@ -254,11 +255,11 @@
   }
   const auto RetrySeconds =
       std::max<int64_t>(1, Action.RetryAfter.count() / 1000000);
-  Answer->whole(httpStatus(Action.Why),
-                {{"Content-Type", JsonType},
-                 {"X-Request-Id", Action.RequestId},
-                 {"Retry-After", std::to_string(RetrySeconds)}},
-                Body);
+  Answer->respond(httpStatus(Action.Why),
+                  {{"Content-Type", JsonType},
+                   {"X-Request-Id", Action.RequestId},
+                   {"Retry-After", std::to_string(RetrySeconds)}},
+                  Body);
 }
 
 void EntryWorker::State::onMessage(const std::string &Upstream,
--- a/daemon/entry_shard.h
+++ b/daemon/entry_worker.h
@@ -5,8 +5,8 @@
 //   EntryWorker Worker(Settings, 0, Seed, Context, Sinks);
 //   std::thread Thread([&] { Worker.run(); });
 //   Worker.publish(Declarations);       // any thread
-#ifndef GOLDCRESTLINK_DAEMON_ENTRY_SHARD_H
-#define GOLDCRESTLINK_DAEMON_ENTRY_SHARD_H
+#ifndef GOLDCRESTLINK_DAEMON_ENTRY_WORKER_H
+#define GOLDCRESTLINK_DAEMON_ENTRY_WORKER_H
 
 #include <atomic>
 #include <functional>
@@ -27,7 +27,7 @@
 
 /// Where a worker sends its output for the control thread. All are thread-safe.
 struct EntrySinks {
-  std::function<void(LineClass, std::string)> Log;
+  std::function<void(LogClass, std::string)> Log;
   std::function<void(entry::RequestRecord)> Record;
   std::function<void(const std::string &Peer, const wire::Envelope &)> Control;
   /// Requests the text of the metrics page; the callback may run on any thread.
@@ -66,4 +66,4 @@
 
 } // namespace goldcrestlink
 
-#endif // GOLDCRESTLINK_DAEMON_ENTRY_SHARD_H
+#endif // GOLDCRESTLINK_DAEMON_ENTRY_WORKER_H
--- a/daemon/fleet_entry.cc
+++ b/daemon/fleet_entry.cc
@@ -10,9 +10,9 @@
 
 #include "base/random.h"
 #include "daemon/entry_traffic.h"
-#include "daemon/planned_stop.h"
+#include "daemon/graceful_shutdown.h"
 #include "daemon/process_control.h"
-#include "daemon/store_follower.h"
+#include "daemon/store_watcher.h"
 
 namespace goldcrestlink {
 
@@ -42,7 +42,7 @@
                        });
                  }}),
         Traffic(ProcessSettings, Seed,
-                {[this](LineClass Class, std::string Line) {
+                {[this](LogClass Class, std::string Line) {
                    Control.log(Class, std::move(Line));
                  },
                  [this](CatalogUpdate Update) {
--- a/daemon/fleet_side.cc
+++ b/daemon/fleet_side.cc
@@ -19,7 +19,7 @@
 #include "base/random.h"
 #include "catalog/catalog.h"
 #include "daemon/admission_codec.h"
-#include "daemon/belief_exchange.h"
+#include "daemon/catalog_exchange.h"
 #include "daemon/process_control.h"
 #include "http/client.h"
 #include "platform/engine_control.h"
@@ -188,7 +188,7 @@
              const AdmissionReply &Reply) override {
     if (Reply.Decision == Verdict::Refuse)
       Control.log(
-          LineClass::Routine,
+          LogClass::Routine,
           "refuse ask=" + std::to_string(Request.Id) +
               " adapter=" + Request.Model + "/" + Request.Adapter +
               " rank=" + std::to_string(Request.Rank) +
@@ -204,11 +204,11 @@
               " rate=" + std::to_string(Admission.load(now()).PrefillRate));
     wire::Envelope E = encodeReply(Request.Id, Reply);
     if (!EntrySocket.send(Request.Peer, E))
-      Control.log(LineClass::Routine,
+      Control.log(LogClass::Routine,
                   "reply outcome=entry_gone ask=" + std::to_string(Request.Id));
   }
 
-  void log(LineClass Class, std::string Line) override {
+  void log(LogClass Class, std::string Line) override {
     Control.log(Class, std::move(Line));
   }
 
@@ -273,7 +273,7 @@
       return;
     ReportPending = true;
     http::CallOptions Options;
-    Options.setConnectTimeout(ReportTimeout).setSilenceTimeout(ReportTimeout);
+    Options.setConnectTimeout(ReportTimeout).setReadTimeout(ReportTimeout);
     Engine.fetch(ProcessSettings.Fleet.Engine, platform::reportRequest(),
                  Options, [this](const http::Response *R, http::CallError) {
                    ReportPending = false;
@@ -314,7 +314,7 @@
     http::Request HealthRequest;
     HealthRequest.Target = HealthPath;
     http::CallOptions Options;
-    Options.setConnectTimeout(ReportTimeout).setSilenceTimeout(ReportTimeout);
+    Options.setConnectTimeout(ReportTimeout).setReadTimeout(ReportTimeout);
     Engine.fetch(ProcessSettings.Fleet.Engine, std::move(HealthRequest),
                  Options, [this](const http::Response *R, http::CallError) {
                    IdentityPending = false;
@@ -328,7 +328,7 @@
 
   void order(const EngineOrder &Order) override {
     http::CallOptions Options;
-    Options.setConnectTimeout(OrderTimeout).setSilenceTimeout(OrderTimeout);
+    Options.setConnectTimeout(OrderTimeout).setReadTimeout(OrderTimeout);
     ++OrderCount;
     Engine.fetch(
         ProcessSettings.Fleet.Engine,
--- a/daemon/planned_stop.cc
+++ b/daemon/graceful_shutdown.cc
@@ -1,6 +1,6 @@
 // One timer: it runs for the notice period, then polls the number of calls in
 // progress every PollInterval until the deadline.
-#include "daemon/planned_stop.h"
+#include "daemon/graceful_shutdown.h"
 
 #include <boost/asio/io_context.hpp>
 
--- a/daemon/planned_stop.h
+++ b/daemon/graceful_shutdown.h
@@ -5,8 +5,8 @@
 //
 //   GracefulShutdown Shutdown(Io, {Announce, StopAccepting, CallsInProgress});
 //   Shutdown.begin(Now, {Notice, Flush, MaxDuration});
-#ifndef GOLDCRESTLINK_DAEMON_PLANNED_STOP_H
-#define GOLDCRESTLINK_DAEMON_PLANNED_STOP_H
+#ifndef GOLDCRESTLINK_DAEMON_GRACEFUL_SHUTDOWN_H
+#define GOLDCRESTLINK_DAEMON_GRACEFUL_SHUTDOWN_H
 
 #include <functional>
 
@@ -54,4 +54,4 @@
 
 } // namespace goldcrestlink
 
-#endif // GOLDCRESTLINK_DAEMON_PLANNED_STOP_H
+#endif // GOLDCRESTLINK_DAEMON_GRACEFUL_SHUTDOWN_H
--- a/daemon/process_control.cc
+++ b/daemon/process_control.cc
@@ -32,10 +32,10 @@
           [this](http::Request Request,
                  std::shared_ptr<http::Responder> Answer) {
             if (Request.path() != "/metrics")
-              return Answer->whole(404, {}, "");
+              return Answer->respond(404, {}, "");
             On.OnMetrics([this, Answer](std::string Page) {
               boost::asio::post(Io, [Answer, Page = std::move(Page)] {
-                Answer->whole(200, {{"Content-Type", "text/plain"}}, Page);
+                Answer->respond(200, {{"Content-Type", "text/plain"}}, Page);
               });
             });
           }),
--- a/daemon/process_control.h
+++ b/daemon/process_control.h
@@ -36,10 +36,10 @@
   ProcessControl(boost::asio::io_context &Io, const Settings &InSettings,
                  std::string File, ControlHandlers On);
   ~ProcessControl();
-  void log(LineClass Class, std::string Line) {
+  void log(LogClass Class, std::string Line) {
     Log.push(Class, std::move(Line));
   }
-  void log(std::string Line) { log(LineClass::Kept, std::move(Line)); }
+  void log(std::string Line) { log(LogClass::Kept, std::move(Line)); }
   /// Writes the queued lines; to be called when the process ends.
   void flush();
 
--- a/daemon/shard_keeper.cc
+++ b/daemon/shard_lease_manager.cc
@@ -1,7 +1,7 @@
 // One platform call is open at a time. A write whose response is lost counts as
 // failed: the next read shows whether it took effect, and the lease never lasts
 // longer than the last acknowledged write allows.
-#include "daemon/shard_keeper.h"
+#include "daemon/shard_lease_manager.h"
 
 namespace goldcrestlink {
 
--- a/daemon/shard_keeper.h
+++ b/daemon/shard_lease_manager.h
@@ -4,8 +4,8 @@
 //
 //   ShardLeaseManager Leases(Platform, TableName, std::move(Lease), OnEffects);
 //   Leases.step(Now);                  // several times a second
-#ifndef GOLDCRESTLINK_DAEMON_SHARD_KEEPER_H
-#define GOLDCRESTLINK_DAEMON_SHARD_KEEPER_H
+#ifndef GOLDCRESTLINK_DAEMON_SHARD_LEASE_MANAGER_H
+#define GOLDCRESTLINK_DAEMON_SHARD_LEASE_MANAGER_H
 
 #include <functional>
 #include <set>
@@ -45,4 +45,4 @@
 
 } // namespace goldcrestlink
 
-#endif // GOLDCRESTLINK_DAEMON_SHARD_KEEPER_H
+#endif // GOLDCRESTLINK_DAEMON_SHARD_LEASE_MANAGER_H
--- a/daemon/side_link.cc
+++ b/daemon/side_connection.cc
@@ -1,7 +1,7 @@
 // The queue is bounded by MaxQueuedMessages. A reset closes the socket and with
 // it discards the messages that ZeroMQ had buffered, so that none of them is
 // sent afterwards.
-#include "daemon/side_link.h"
+#include "daemon/side_connection.h"
 
 namespace goldcrestlink {
 
--- a/daemon/side_link.h
+++ b/daemon/side_connection.h
@@ -5,8 +5,8 @@
 //   SideConnection Side(Io, Context, "127.0.0.1:7000", "", OnMessage);
 //   if (!Side.trySend(Attempt)) ...;
 //   Side.sendOrQueue(Resume);  Side.flush();
-#ifndef GOLDCRESTLINK_DAEMON_SIDE_LINK_H
-#define GOLDCRESTLINK_DAEMON_SIDE_LINK_H
+#ifndef GOLDCRESTLINK_DAEMON_SIDE_CONNECTION_H
+#define GOLDCRESTLINK_DAEMON_SIDE_CONNECTION_H
 
 #include <deque>
 #include <memory>
@@ -50,4 +50,4 @@
 
 } // namespace goldcrestlink
 
-#endif // GOLDCRESTLINK_DAEMON_SIDE_LINK_H
+#endif // GOLDCRESTLINK_DAEMON_SIDE_CONNECTION_H
--- a/daemon/side_links.cc
+++ b/daemon/side_connection_pool.cc
@@ -1,6 +1,6 @@
 // A map by name, bounded by the declared upstreams and the peers in the
 // settings.
-#include "daemon/side_links.h"
+#include "daemon/side_connection_pool.h"
 
 namespace goldcrestlink {
 
--- a/daemon/side_links.h
+++ b/daemon/side_connection_pool.h
@@ -5,8 +5,8 @@
 //   Sides.onConfig(Declarations);      // closes undeclared connections
 //   if (SideConnection *Side = Sides.find("engine-1"))
 //     Side->sendOrQueue(Message);
-#ifndef GOLDCRESTLINK_DAEMON_SIDE_LINKS_H
-#define GOLDCRESTLINK_DAEMON_SIDE_LINKS_H
+#ifndef GOLDCRESTLINK_DAEMON_SIDE_CONNECTION_POOL_H
+#define GOLDCRESTLINK_DAEMON_SIDE_CONNECTION_POOL_H
 
 #include <functional>
 #include <memory>
@@ -15,7 +15,7 @@
 
 #include "base/random.h"
 #include "config/declarations.h"
-#include "daemon/side_link.h"
+#include "daemon/side_connection.h"
 
 namespace goldcrestlink {
 
@@ -52,4 +52,4 @@
 
 } // namespace goldcrestlink
 
-#endif // GOLDCRESTLINK_DAEMON_SIDE_LINKS_H
+#endif // GOLDCRESTLINK_DAEMON_SIDE_CONNECTION_POOL_H
--- a/daemon/side_daemon.cc
+++ b/daemon/side_daemon.cc
@@ -18,9 +18,9 @@
 
 #include "base/random.h"
 #include "daemon/cell_status.h"
-#include "daemon/config_keeper.h"
+#include "daemon/config_updater.h"
 #include "daemon/decision_log.h"
-#include "daemon/shard_keeper.h"
+#include "daemon/shard_lease_manager.h"
 #include "daemon/side_traffic.h"
 #include "http/server.h"
 #include "membership/cell_watchers.h"
@@ -80,7 +80,7 @@
 private:
   SideSinks makeSinks() {
     SideSinks Out;
-    Out.Log = [this](LineClass Class, std::string Line) {
+    Out.Log = [this](LogClass Class, std::string Line) {
       Log.push(Class, std::move(Line));
     };
     Out.Control = [this](const std::string &Peer, const wire::Envelope &Message,
@@ -198,7 +198,7 @@
       for (const InstanceRow &Row : *Rows) {
         Listed.insert(Row.Name);
         EverListed.insert(Row.Name);
-        if (Row.Leaving)
+        if (Row.Draining)
           Notice.add_leaving(Row.Name);
       }
       for (const std::string &Name : EverListed)
@@ -300,11 +300,11 @@
   void onHttp(const http::Request &R, http::Responder &Answer) {
     const SideSummary Summary = Traffic.summary();
     if (R.path() == "/healthz")
-      return Answer.whole(200, {}, "ok\n");
+      return Answer.respond(200, {}, "ok\n");
     if (R.path() == "/readyz")
-      return Answer.whole(Summary.Ready ? 200 : 503, {}, "");
+      return Answer.respond(Summary.Ready ? 200 : 503, {}, "");
     if (R.path() != "/metrics" && R.path() != "/status")
-      return Answer.whole(404, {}, "");
+      return Answer.respond(404, {}, "");
     const side::SideCounters &Counters = Summary.Counters;
     std::ostringstream Out;
     const auto Line = [&](const char *Name, auto Value) {
@@ -336,7 +336,7 @@
       RankLine("stalled_total", R.Stalled);
       RankLine("stalled_us_total", R.StalledUs);
     }
-    Answer.whole(200, {{"Content-Type", "text/plain"}}, Out.str());
+    Answer.respond(200, {{"Content-Type", "text/plain"}}, Out.str());
   }
 
   Settings ProcessSettings;
--- a/daemon/side_traffic.cc
+++ b/daemon/side_traffic.cc
@@ -14,7 +14,7 @@
 #include <boost/asio/steady_timer.hpp>
 
 #include "base/random.h"
-#include "daemon/side_links.h"
+#include "daemon/side_connection_pool.h"
 #include "side/upstream_client.h"
 
 namespace goldcrestlink {
@@ -101,36 +101,36 @@
 
 side::UpstreamEvents SideTraffic::State::events() {
   using side::Actions;
-  using side::SideMachine;
+  using side::SideStateMachine;
   side::UpstreamEvents On;
   On.Head = [this](const std::string &Id, unsigned Status,
                    std::string_view Type) {
-    dispatch([&](SideMachine &M, const CurrentTime &N, Actions &Out) {
+    dispatch([&](SideStateMachine &M, const CurrentTime &N, Actions &Out) {
       M.onRunHead(N, Id, Status, Type, Out);
     });
   };
   On.Data = [this](const std::string &Id, std::string_view Bytes) {
-    dispatch([&](SideMachine &M, const CurrentTime &N, Actions &Out) {
+    dispatch([&](SideStateMachine &M, const CurrentTime &N, Actions &Out) {
       M.onRunData(N, Id, Bytes, Out);
     });
   };
   On.Done = [this](const std::string &Id) {
-    dispatch([&](SideMachine &M, const CurrentTime &N, Actions &Out) {
+    dispatch([&](SideStateMachine &M, const CurrentTime &N, Actions &Out) {
       M.onRunDone(N, Id, Out);
     });
   };
   On.Error = [this](const std::string &Id, side::RunError Error) {
-    dispatch([&](SideMachine &M, const CurrentTime &N, Actions &Out) {
+    dispatch([&](SideStateMachine &M, const CurrentTime &N, Actions &Out) {
       M.onRunError(N, Id, Error, Out);
     });
   };
   On.Loaded = [this](size_t Slot, const std::string &Key, bool Loaded) {
-    dispatch([&](SideMachine &M, const CurrentTime &N, Actions &Out) {
+    dispatch([&](SideStateMachine &M, const CurrentTime &N, Actions &Out) {
       M.onLoadDone(N, Slot, Key, Loaded, Out);
     });
   };
   On.Checked = [this](const side::UpstreamStatus &Status) {
-    dispatch([&](SideMachine &M, const CurrentTime &N, Actions &Out) {
+    dispatch([&](SideStateMachine &M, const CurrentTime &N, Actions &Out) {
       M.onUpstreamCheck(N, Status, Out);
     });
   };
--- a/daemon/side_traffic.h
+++ b/daemon/side_traffic.h
@@ -15,7 +15,7 @@
 #include "config/declarations.h"
 #include "config/settings.h"
 #include "membership/shard_lease.h"
-#include "side/side_machine.h"
+#include "side/side_state_machine.h"
 
 namespace zmq {
 class context_t;
@@ -26,7 +26,7 @@
 /// Where the traffic thread sends its output for the control thread. All are
 /// thread-safe.
 struct SideSinks {
-  std::function<void(LineClass, std::string)> Log;
+  std::function<void(LogClass, std::string)> Log;
   /// A message about configuration or membership. \p Reply answers it.
   std::function<void(const std::string &Peer, const wire::Envelope &,
                      std::function<void(wire::Envelope)> Reply)>
--- a/daemon/store_follower.cc
+++ b/daemon/store_watcher.cc
@@ -1,7 +1,7 @@
 // Changes that arrive together cause one notification. Unreadable records are
 // logged and leave the catalog unchanged, except that an unreadable record of
 // an upstream removes the upstream, since it no longer says how to reach it.
-#include "daemon/store_follower.h"
+#include "daemon/store_watcher.h"
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/post.hpp>
@@ -33,9 +33,9 @@
 
 void StoreWatcher::start() {
   using platform::StoreObject;
-  Store.onContact(
+  Store.onReachabilityChange(
       [this](bool Reached, std::string_view Why) { onContact(Reached, Why); });
-  platform::FollowHandlers Config;
+  platform::WatchHandlers Config;
   Config.OnList = [this](uint64_t Revision,
                          const std::vector<StoreObject> &List) {
     logList(platform::kinds::Config, Revision, List);
@@ -45,9 +45,9 @@
   Config.OnChange = [this](const StoreObject &Object) {
     onConfigObject(Object);
   };
-  Store.follow(platform::kinds::Config, std::move(Config));
+  Store.watch(platform::kinds::Config, std::move(Config));
 
-  platform::FollowHandlers Upstreams;
+  platform::WatchHandlers Upstreams;
   Upstreams.OnList = [this](uint64_t Revision,
                             const std::vector<StoreObject> &List) {
     onUpstreams(Revision, List);
@@ -55,13 +55,13 @@
   Upstreams.OnChange = [this](const StoreObject &Object) {
     onUpstream(Object);
   };
-  Upstreams.OnRegained = [this] {
+  Upstreams.OnRecovered = [this] {
     KnownCatalog.onStoreReconnected(currentTime().Steady);
   };
-  Upstreams.Gather = UpstreamWatchPause;
-  Store.follow(platform::kinds::Upstreams, std::move(Upstreams));
+  Upstreams.BatchDelay = UpstreamWatchPause;
+  Store.watch(platform::kinds::Upstreams, std::move(Upstreams));
 
-  platform::FollowHandlers Releases;
+  platform::WatchHandlers Releases;
   Releases.OnList = [this](uint64_t Revision,
                            const std::vector<StoreObject> &List) {
     logList(platform::kinds::Releases, Revision, List);
@@ -69,7 +69,7 @@
       onRelease(Object);
   };
   Releases.OnChange = [this](const StoreObject &Object) { onRelease(Object); };
-  Store.follow(platform::kinds::Releases, std::move(Releases));
+  Store.watch(platform::kinds::Releases, std::move(Releases));
 }
 
 void StoreWatcher::setEntryCount(size_t Count) {
--- a/daemon/store_follower.h
+++ b/daemon/store_watcher.h
@@ -1,10 +1,10 @@
 // Keeps a Catalog up to date from the platform's store and reports changes.
 //
-//   StoreFollower Follower(Io, StoreAddress, Seed,
-//                          [&] { publish(Follower.catalog()); }, Log);
-//   Follower.start();
-#ifndef GOLDCRESTLINK_DAEMON_STORE_FOLLOWER_H
-#define GOLDCRESTLINK_DAEMON_STORE_FOLLOWER_H
+//   StoreWatcher Watcher(Io, StoreAddress, Seed,
+//                        [&] { publish(Watcher.catalog()); }, Log);
+//   Watcher.start();
+#ifndef GOLDCRESTLINK_DAEMON_STORE_WATCHER_H
+#define GOLDCRESTLINK_DAEMON_STORE_WATCHER_H
 
 #include <functional>
 #include <memory>
@@ -63,4 +63,4 @@
 
 } // namespace goldcrestlink
 
-#endif // GOLDCRESTLINK_DAEMON_STORE_FOLLOWER_H
+#endif // GOLDCRESTLINK_DAEMON_STORE_WATCHER_H
--- a/daemon/testing/decision_log_test.cc
+++ b/daemon/testing/decision_log_test.cc
@@ -44,10 +44,10 @@
   for (size_t T = 0; T < Threads; ++T)
     Pushers.emplace_back([&] {
       for (size_t I = 0; I < RoutineEach; ++I) {
-        Log.push(LineClass::Routine, "send id=r");
+        Log.push(LogClass::Routine, "send id=r");
         if (I % (RoutineEach / KeptEach) == 0 &&
             I / (RoutineEach / KeptEach) < KeptEach)
-          Log.push(LineClass::Kept, "end id=r outcome=no_room");
+          Log.push(LogClass::Kept, "end id=r outcome=no_room");
       }
     });
   for (std::thread &T : Pushers)
@@ -59,19 +59,18 @@
   for (int Second = 1; Second <= 3; ++Second)
     Log.drain(Start + std::chrono::seconds(Second));
   CHECK(Out.countContaining("outcome=no_room") == Threads * KeptEach);
-  CHECK(Log.dropped(LineClass::Kept) == 0);
-  CHECK(Out.countContaining("send id=r") + Log.dropped(LineClass::Routine) ==
+  CHECK(Log.dropped(LogClass::Kept) == 0);
+  CHECK(Out.countContaining("send id=r") + Log.dropped(LogClass::Routine) ==
         Threads * RoutineEach);
-  CHECK(Out.countContaining("dropped_routine=" +
-                            std::to_string(Log.dropped(LineClass::Routine))) ==
-        1);
+  CHECK(Out.countContaining("dropped_routine=" + std::to_string(Log.dropped(
+                                                     LogClass::Routine))) == 1);
 }
 
 TEST_CASE("within the rate no line is dropped, and lines keep their order") {
   LineCollector Out;
   DecisionLog Log(Rate, Out.sink());
   for (int I = 0; I < 40; ++I)
-    Log.push(LineClass::Routine, "n=" + std::to_string(I) + ".");
+    Log.push(LogClass::Routine, "n=" + std::to_string(I) + ".");
   Log.drain(Start);
   REQUIRE(Out.Lines.size() == 40);
   for (int I = 0; I < 40; ++I)
@@ -85,8 +84,8 @@
   LineCollector Out;
   DecisionLog Log(Rate, Out.sink());
   for (size_t I = 0; I < LineCount; ++I)
-    Log.push(LineClass::Kept, "end");
-  const uint64_t Dropped = Log.dropped(LineClass::Kept);
+    Log.push(LogClass::Kept, "end");
+  const uint64_t Dropped = Log.dropped(LogClass::Kept);
   CHECK(Dropped > 0);
   // finish() writes all kept lines that are still queued, regardless of the
   // rate.
--- a/entry/actions.h
+++ b/entry/actions.h
@@ -10,7 +10,7 @@
 #include <variant>
 #include <vector>
 
-#include "base/line_class.h"
+#include "base/log_class.h"
 #include "base/refusal.h"
 #include "base/time.h"
 #include "wire/generated/messages.pb.h"
@@ -92,7 +92,7 @@
 
 /// Write one line to the decision log.
 struct LogDecision {
-  LineClass Class;
+  LogClass Class;
   std::string Line;
 };
 
--- a/entry/entry_answers.cc
+++ b/entry/entry_answers.cc
@@ -9,7 +9,7 @@
 #include <array>
 #include <cassert>
 
-#include "entry/entry_machine.h"
+#include "entry/entry_state_machine.h"
 
 namespace goldcrestlink::entry {
 
@@ -258,26 +258,26 @@
 }
 
 void EntryStateMachine::checkSilentSides(const CurrentTime &Now, Actions &Out) {
-  std::vector<std::pair<std::string, SideView::Verdict>> Verdicts;
+  std::vector<std::pair<std::string, SideView::LivenessStep>> Steps;
   for (auto &[Name, View] : Views) {
     const auto Open = OpenAttemptsBySide.find(Name);
     const size_t Outstanding =
         Open == OpenAttemptsBySide.end() ? 0 : Open->second.size();
-    const auto Verdict =
+    const auto Step =
         View.checkLiveness(Now.Steady, Opts.sideView(), Outstanding);
-    if (Verdict != SideView::Verdict::Fine)
-      Verdicts.emplace_back(Name, Verdict);
+    if (Step != SideView::LivenessStep::Fine)
+      Steps.emplace_back(Name, Step);
   }
-  for (const auto &[Name, Verdict] : Verdicts) {
-    if (Verdict == SideView::Verdict::Unreachable) {
+  for (const auto &[Name, Step] : Steps) {
+    if (Step == SideView::LivenessStep::Unreachable) {
       Out.emplace_back(
-          LogDecision{LineClass::Kept, "unreachable upstream=" + Name});
+          LogDecision{LogClass::Kept, "unreachable upstream=" + Name});
       failOver(Now, Name, Out);
       continue;
     }
-    if (Verdict == SideView::Verdict::Reset) {
+    if (Step == SideView::LivenessStep::Reset) {
       Out.emplace_back(
-          LogDecision{LineClass::Kept, "reset connection upstream=" + Name});
+          LogDecision{LogClass::Kept, "reset connection upstream=" + Name});
       Out.emplace_back(ResetConnection{Name});
     }
     probeAndResume(Now, Name, Out);
--- a/entry/entry_routing.cc
+++ b/entry/entry_routing.cc
@@ -10,7 +10,7 @@
 
 #include "base/hash.h"
 #include "delivery/key_ledger.h"
-#include "entry/entry_machine.h"
+#include "entry/entry_state_machine.h"
 #include "routing/rendezvous.h"
 
 namespace goldcrestlink::entry {
@@ -290,7 +290,7 @@
   WireAttempt.set_stream(Active.Request.Stream);
   WireAttempt.set_max_tokens(Active.Request.MaxTokens);
   Out.emplace_back(LogDecision{
-      LineClass::Routine,
+      LogClass::Routine,
       "route request=" + Active.Request.Id + " attempt=" + Id + " adapter=" +
           (Active.Request.Adapter.empty()
                ? Active.Request.Path
--- a/entry/entry_machine.cc
+++ b/entry/entry_state_machine.cc
@@ -6,7 +6,7 @@
 // before its side answered sets MayHaveRun, so that the caller is told "not
 // run" only when every attempt is known not to have run. Requests are bounded
 // by maxRequests, attempts per request by maxAttempts and the retry budget.
-#include "entry/entry_machine.h"
+#include "entry/entry_state_machine.h"
 
 #include <algorithm>
 #include <cassert>
@@ -203,7 +203,7 @@
   Record.Attempts = Active.AttemptCount;
   Out.emplace_back(std::move(Record));
   Out.emplace_back(LogDecision{
-      Why == Code::None ? LineClass::Routine : LineClass::Kept,
+      Why == Code::None ? LogClass::Routine : LogClass::Kept,
       "end request=" + Id + " rank=" + Active.Rank.Name +
           " code=" + std::string(codeName(Why)) +
           " outcome=" + std::string(outcomeName(Known)) +
--- a/entry/entry_machine.h
+++ b/entry/entry_state_machine.h
@@ -3,13 +3,14 @@
 // starts no threads and reads no clock; a process may run several, one per
 // thread.
 //
-//   EntryMachine Machine(EntryMachine::Options(), Declarations, "dc-1", Seed);
+//   EntryStateMachine Machine(EntryStateMachine::Options(), Declarations,
+//                             "dc-1", Seed);
 //   Actions Out;
 //   Machine.onRequest(Now, std::move(Request), Out);
 //   Machine.onEnvelope(Now, "engine-1", Envelope, Out);
 //   Machine.onTimer(Now, Out);
-#ifndef GOLDCRESTLINK_ENTRY_ENTRY_MACHINE_H
-#define GOLDCRESTLINK_ENTRY_ENTRY_MACHINE_H
+#ifndef GOLDCRESTLINK_ENTRY_ENTRY_STATE_MACHINE_H
+#define GOLDCRESTLINK_ENTRY_ENTRY_STATE_MACHINE_H
 
 #include <map>
 #include <memory>
@@ -280,4 +281,4 @@
 
 } // namespace goldcrestlink::entry
 
-#endif // GOLDCRESTLINK_ENTRY_ENTRY_MACHINE_H
+#endif // GOLDCRESTLINK_ENTRY_ENTRY_STATE_MACHINE_H
--- a/entry/testing/entry_machine_test.cc
+++ b/entry/testing/entry_state_machine_test.cc
@@ -5,7 +5,7 @@
 
 #include <doctest/doctest.h>
 
-#include "entry/entry_machine.h"
+#include "entry/entry_state_machine.h"
 #include "entry/request_parser.h"
 
 using namespace goldcrestlink;
--- a/examples/demo.cc
+++ b/examples/demo.cc
@@ -8,7 +8,7 @@
 #include <CLI/CLI.hpp>
 
 #include "http/client.h"
-#include "testing/fleet.h"
+#include "testing/test_deployment.h"
 
 using namespace goldcrestlink;
 
@@ -22,7 +22,7 @@
   R.Fields = std::move(Fields);
   R.Fields.push_back({"Content-Type", "application/json"});
   R.Body = Body;
-  return http::fetchNow(Entry, std::move(R), http::CallOptions());
+  return http::fetchBlocking(Entry, std::move(R), http::CallOptions());
 }
 
 bool printAnswer(const char *What, const http::Response &R) {
@@ -31,46 +31,50 @@
   return R.Head.Status == 200;
 }
 
-bool useDeployment(testing::TestDeployment &Fleet) {
+bool useDeployment(testing::TestDeployment &Deployment) {
   bool Ok =
       printAnswer("an unstreamed answer through entry 1",
-                  call(Fleet.Entries[0].Http, "/v1/completions",
+                  call(Deployment.Entries[0].Http, "/v1/completions",
                        R"({"model":"a1@1","prompt":"hoops?","max_tokens":4,)"
                        R"("user":"caller-1"})",
                        {{"X-Application", "scribe"}, {"X-Rank", "urgent"}}));
   Ok &= printAnswer("a streamed answer through entry 2",
-                    call(Fleet.Entries[1].Http, "/v1/completions",
+                    call(Deployment.Entries[1].Http, "/v1/completions",
                          R"({"model":"a2@1","prompt":"staves?","max_tokens":4,)"
                          R"("stream":true,"user":"caller-2"})",
                          {{"X-Application", "desk"}}));
   Ok &=
       printAnswer("a request for an undeclared version, which must be refused",
-                  call(Fleet.Entries[0].Http, "/v1/completions",
+                  call(Deployment.Entries[0].Http, "/v1/completions",
                        R"({"model":"a1@9","prompt":"x"})", {})) == false;
   const std::string Key = "order-1";
   const std::string Issued = std::to_string(unixMillis(currentTime().Wall));
   const http::Headers KeyHeaders = {{"Idempotency-Key", Key},
                                     {"Idempotency-Key-Issued-At", Issued}};
-  Ok &= printAnswer("a work order", call(Fleet.Entries[0].Http, "/work-orders",
-                                         "{\"order\":1}", KeyHeaders));
-  Ok &= printAnswer(
-      "the same work order again, through the other entry",
-      call(Fleet.Entries[1].Http, "/work-orders", "{\"order\":1}", KeyHeaders));
+  Ok &= printAnswer("a work order",
+                    call(Deployment.Entries[0].Http, "/work-orders",
+                         "{\"order\":1}", KeyHeaders));
+  Ok &= printAnswer("the same work order again, through the other entry",
+                    call(Deployment.Entries[1].Http, "/work-orders",
+                         "{\"order\":1}", KeyHeaders));
   std::printf("number of executions of each order at the services:\n");
-  for (const std::string &Line : Fleet.runs(Fleet.Services))
+  for (const std::string &Line : Deployment.runs(Deployment.Services))
     std::printf("  %s\n", Line.c_str());
-  Fleet.Shape.Versions = "1 2 3";
-  Ok &= Fleet.apply() == 0;
-  Ok &= testing::eventually([&] { return Fleet.allHaveGeneration(2); }, 30);
+  Deployment.Shape.Versions = "1 2 3";
+  Ok &= Deployment.apply() == 0;
+  Ok &=
+      testing::eventually([&] { return Deployment.allHaveGeneration(2); }, 30);
   Ok &=
       printAnswer("a request for the version that was just applied",
-                  call(Fleet.Entries[1].Http, "/v1/completions",
+                  call(Deployment.Entries[1].Http, "/v1/completions",
                        R"({"model":"a1@3","prompt":"x","max_tokens":2})", {}));
-  std::printf("status of entry 1\n%s",
-              Fleet.admin(Fleet.Entries[0].Http, "/status", "GET").c_str());
+  std::printf(
+      "status of entry 1\n%s",
+      Deployment.admin(Deployment.Entries[0].Http, "/status", "GET").c_str());
   std::printf(
       "explanation\n%s",
-      Fleet.admin(Fleet.Entries[0].Http, "/explain?model=a1@3", "GET").c_str());
+      Deployment.admin(Deployment.Entries[0].Http, "/explain?model=a1@3", "GET")
+          .c_str());
   return Ok;
 }
 
@@ -85,10 +89,11 @@
                  "folder for settings and logs; existing content is deleted");
   CLI11_PARSE(App, Argc, Argv);
   try {
-    testing::TestDeployment Fleet(testing::DeploymentOptions(), Programs, Work);
-    Fleet.start();
-    const bool Ok = useDeployment(Fleet);
-    const bool CleanStop = Fleet.stopGracefully();
+    testing::TestDeployment Deployment(testing::DeploymentOptions(), Programs,
+                                       Work);
+    Deployment.start();
+    const bool Ok = useDeployment(Deployment);
+    const bool CleanStop = Deployment.stopGracefully();
     std::printf("%s; graceful stop: %s\n", Ok ? "all as expected" : "FAILED",
                 CleanStop ? "clean" : "FAILED");
     return Ok && CleanStop ? 0 : 1;
--- a/forward/engine_board.cc
+++ b/forward/engine_ranker.cc
@@ -5,7 +5,7 @@
 // the prefill time of the queued prompts and of the request's own prompt, plus
 // a load if the engine does not hold the adapter. One ranking visits each
 // engine once and sorts twice.
-#include "forward/engine_board.h"
+#include "forward/engine_ranker.h"
 
 #include <algorithm>
 #include <cmath>
--- a/forward/engine_board.h
+++ b/forward/engine_ranker.h
@@ -7,8 +7,8 @@
 //   R.onLoad(Now, "id-1", Load);
 //   R.onDemand(Now, Required);
 //   auto Ranked = R.rank(Now, Required, Upstreams);     // cheapest first
-#ifndef GOLDCRESTLINK_FORWARD_ENGINE_BOARD_H
-#define GOLDCRESTLINK_FORWARD_ENGINE_BOARD_H
+#ifndef GOLDCRESTLINK_FORWARD_ENGINE_RANKER_H
+#define GOLDCRESTLINK_FORWARD_ENGINE_RANKER_H
 
 #include <array>
 #include <map>
@@ -182,4 +182,4 @@
 
 } // namespace goldcrestlink::forward
 
-#endif // GOLDCRESTLINK_FORWARD_ENGINE_BOARD_H
+#endif // GOLDCRESTLINK_FORWARD_ENGINE_RANKER_H
--- a/forward/forwarder.cc
+++ b/forward/forwarder.cc
@@ -130,7 +130,7 @@
                               unsigned Status, Duration RetryAfter,
                               EndReason Why) {
   Port.log(
-      LineClass::Kept,
+      LogClass::Kept,
       "end id=" + Request.RequestId +
           " outcome=" + std::string(endReasonName(Why)) +
           " status=" + std::to_string(Status) + " config=" +
@@ -373,7 +373,7 @@
   case Verdict::Wait:
     Call.CurrentStage = Stage::WaitingAtSide;
     Port.log(
-        LineClass::Routine,
+        LogClass::Routine,
         "wait " + describe(Call) + " ask=" + std::to_string(AdmissionId) +
             " expected_ms=" + std::to_string(Reply.Expected.count() / 1000));
     // The side normally refuses the call before this time; the time-out covers
@@ -382,7 +382,7 @@
     schedule(Call.StageUntil, Call.Id);
     return;
   case Verdict::Refuse:
-    Port.log(LineClass::Routine,
+    Port.log(LogClass::Routine,
              "refused_by_side " + describe(Call) +
                  " ask=" + std::to_string(AdmissionId) + " expected_ms=" +
                  std::to_string(Reply.Expected.count() / 1000) +
--- a/forward/forwarder.h
+++ b/forward/forwarder.h
@@ -21,11 +21,11 @@
 #include <vector>
 
 #include "admission/side_admission.h"
-#include "base/line_class.h"
+#include "base/log_class.h"
 #include "base/random.h"
 #include "catalog/catalog.h"
 #include "forward/call.h"
-#include "forward/engine_board.h"
+#include "forward/engine_ranker.h"
 #include "forward/event_splitter.h"
 #include "forward/retry_allowance.h"
 #include "forward/service_balancer.h"
@@ -100,7 +100,7 @@
   virtual void answerWithError(uint64_t Call, unsigned Status,
                                std::string_view RequestId, Duration RetryAfter,
                                EndReason Why) = 0;
-  virtual void log(LineClass Class, std::string Line) = 0;
+  virtual void log(LogClass Class, std::string Line) = 0;
   /// Records an ended call in the metrics. \p FirstByte and \p Total count from
   /// the call's arrival; \p FirstByte is zero if there was none.
   virtual void record(uint32_t Rank, std::string_view Outcome,
--- a/forward/forwarder_sends.cc
+++ b/forward/forwarder_sends.cc
@@ -55,7 +55,7 @@
   Terms.IsEngine = Call.IsEngine;
   Terms.AfterEvent = Call.Events.lastId();
   Port.log(
-      LineClass::Routine,
+      LogClass::Routine,
       "send " + describe(Call) + " send=" + std::to_string(Call.Sends) +
           " version=" + std::to_string(Version) +
           " waited_ms=" + std::to_string((Now - Call.Arrived).count() / 1000) +
@@ -188,7 +188,7 @@
   ActiveCall *Call = find(Send);
   if (!Call)
     return;
-  Port.log(LineClass::Kept,
+  Port.log(LogClass::Kept,
            "send_failed " + describe(*Call) +
                " send=" + std::to_string(Call->Sends) +
                " sent=" + (Error == SendError::NotSent ? "no" : "maybe") +
@@ -272,7 +272,7 @@
 
 void Forwarder::endCall(Time Now, ActiveCall &Call, std::string_view Outcome) {
   Port.log(
-      Outcome == ServedOutcome ? LineClass::Routine : LineClass::Kept,
+      Outcome == ServedOutcome ? LogClass::Routine : LogClass::Kept,
       "end " + describe(Call) + " outcome=" + std::string(Outcome) +
           " sends=" + std::to_string(Call.Sends) +
           " asks=" + std::to_string(Call.AdmissionRequests) +
@@ -332,7 +332,7 @@
     return;
   switch (Call.CurrentStage) {
   case Stage::AdmissionRequested:
-    Port.log(LineClass::Kept, "side_silent " + describe(Call));
+    Port.log(LogClass::Kept, "side_silent " + describe(Call));
     Engines.onSideSilent(Now, Call.Upstream.Id);
     endAdmission(Call);
     Port.onSideTimeout(Call.Upstream);
--- a/forward/testing/forwarder_test.cc
+++ b/forward/testing/forwarder_test.cc
@@ -109,7 +109,7 @@
     Reason = Why;
     ++Ends;
   }
-  void log(LineClass, std::string) override {}
+  void log(LogClass, std::string) override {}
   void record(uint32_t, std::string_view, Duration, Duration) override {}
 
   std::vector<SentAdmission> Admissions;
--- a/forward/testing/parts_test.cc
+++ b/forward/testing/parts_test.cc
@@ -5,7 +5,7 @@
 #include <algorithm>
 
 #include "base/random.h"
-#include "forward/engine_board.h"
+#include "forward/engine_ranker.h"
 #include "forward/event_splitter.h"
 #include "forward/retry_allowance.h"
 #include "forward/service_balancer.h"
--- a/http/client.cc
+++ b/http/client.cc
@@ -187,7 +187,7 @@
 
   void write() {
     RequestWritten = false;
-    Stream->expires_after(toNanos(Options.silenceTimeout()));
+    Stream->expires_after(toNanos(Options.readTimeout()));
     bhttp::async_write(*Stream, Message,
                        [Self = shared_from_this(),
                         Attempt = Attempt](ErrorCode Error, size_t Bytes) {
@@ -209,7 +209,7 @@
   }
 
   void readHead() {
-    Stream->expires_after(toNanos(Options.silenceTimeout()));
+    Stream->expires_after(toNanos(Options.readTimeout()));
     bhttp::async_read_header(
         *Stream, Buffer, *Parser,
         [Self = shared_from_this(), Attempt = Attempt](ErrorCode Error,
@@ -243,7 +243,7 @@
     }
     if (Parser->is_done())
       return done();
-    Stream->expires_after(toNanos(Options.silenceTimeout()));
+    Stream->expires_after(toNanos(Options.readTimeout()));
     bhttp::async_read_some(
         *Stream, Buffer, *Parser,
         [Self = shared_from_this()](ErrorCode Error, size_t) {
@@ -279,7 +279,7 @@
   void failBeforeHead(ErrorCode Error, bool NothingSent) {
     const bool Repeatable =
         NothingSent ||
-        (Options.repeatReads() && Message.method() == bhttp::verb::get);
+        (Options.retryGets() && Message.method() == bhttp::verb::get);
     if (Reused && Repeatable && errorKind(Error) == CallError::Broken) {
       Reused = false;
       ++Attempt;
@@ -291,7 +291,7 @@
   }
 
   static CallError errorKind(ErrorCode Error) {
-    return Error == beast::error::timeout ? CallError::Silent
+    return Error == beast::error::timeout ? CallError::TimedOut
                                           : CallError::Broken;
   }
 
@@ -369,7 +369,7 @@
   Connections->ByEndpoint.erase(To.text());
 }
 
-Response fetchNow(const Endpoint &To, Request Req, CallOptions Options) {
+Response fetchBlocking(const Endpoint &To, Request Req, CallOptions Options) {
   asio::io_context Io;
   Client C(Io);
   Response Out;
--- a/http/client.h
+++ b/http/client.h
@@ -29,7 +29,7 @@
   Broken,
   /// The response or its next part did not arrive in time. The peer may have
   /// processed the request.
-  Silent
+  TimedOut
 };
 
 /// Options of one call. Setters return the object so that they chain.
@@ -37,7 +37,7 @@
 public:
   bool freshConnection() const { return FreshConnection; }
   Duration connectTimeout() const { return ConnectTimeout; }
-  Duration silenceTimeout() const { return SilenceTimeout; }
+  Duration readTimeout() const { return ReadTimeout; }
   /// Opens a new connection instead of reusing an idle one, and closes it
   /// after the call. For requests that must not be retried: the peer may close
   /// an idle connection just as a request is sent on it, and then it is unknown
@@ -54,9 +54,9 @@
   }
   /// The longest time from the start of sending until the response header is
   /// complete, and after that until the next part of the body. A call that
-  /// exceeds it fails as Silent.
-  CallOptions &setSilenceTimeout(Duration Timeout) {
-    SilenceTimeout = Timeout;
+  /// exceeds it fails as TimedOut.
+  CallOptions &setReadTimeout(Duration Timeout) {
+    ReadTimeout = Timeout;
     return *this;
   }
   Duration maxIdleAge() const { return MaxIdleAge; }
@@ -67,21 +67,21 @@
     return *this;
   }
 
-  bool repeatReads() const { return RepeatReads; }
+  bool retryGets() const { return RetryGets; }
   /// Whether a GET is retried once on a new connection if the reused connection
   /// broke before the response began. Off for callers' requests, whose retries
   /// follow the rules of their route.
-  CallOptions &setRepeatReads(bool On) {
-    RepeatReads = On;
+  CallOptions &setRetryGets(bool On) {
+    RetryGets = On;
     return *this;
   }
 
 private:
   bool FreshConnection = false;
-  bool RepeatReads = true;
+  bool RetryGets = true;
   Duration MaxIdleAge = std::chrono::seconds(60);
   Duration ConnectTimeout = std::chrono::seconds(1);
-  Duration SilenceTimeout = std::chrono::seconds(30);
+  Duration ReadTimeout = std::chrono::seconds(30);
 };
 
 /// Callbacks of a call; each may be empty. OnHead is called once, OnData for
@@ -134,7 +134,7 @@
 
 /// Makes one call and blocks until it ends; throws std::runtime_error on
 /// failure. Thread-safe.
-Response fetchNow(const Endpoint &To, Request Req, CallOptions Options);
+Response fetchBlocking(const Endpoint &To, Request Req, CallOptions Options);
 
 } // namespace goldcrestlink::http
 
--- a/http/server.cc
+++ b/http/server.cc
@@ -94,8 +94,8 @@
       close();
   }
 
-  void whole(unsigned Status, const Headers &Fields,
-             std::string Body) override {
+  void respond(unsigned Status, const Headers &Fields,
+               std::string Body) override {
     bhttp::response<bhttp::string_body> Response;
     Response.body() = std::move(Body);
     fillHead(Response, Status, Fields);
@@ -134,7 +134,7 @@
       close();
   }
 
-  void onGone(std::function<void()> Callback) override {
+  void onDisconnect(std::function<void()> Callback) override {
     OnDisconnect = std::move(Callback);
   }
 
@@ -236,9 +236,9 @@
     KeepAlive = false;
     InRequest = true;
     ++Owner->Active;
-    whole(Status, {{"Content-Type", "application/json"}},
-          std::string("{\"error\":{\"code\":\"") + Code +
-              "\",\"outcome\":\"not_run\"}}");
+    respond(Status, {{"Content-Type", "application/json"}},
+            std::string("{\"error\":{\"code\":\"") + Code +
+                "\",\"outcome\":\"not_run\"}}");
   }
 
   // True if the caller has closed its sending direction or reset the
@@ -361,7 +361,7 @@
   try {
     Acceptor.open(Address.protocol());
     Acceptor.set_option(Tcp::acceptor::reuse_address(true));
-    if (Options.sharePort())
+    if (Options.reusePort())
       Acceptor.set_option(ReusePort(true));
     Acceptor.bind(Address);
     Acceptor.listen();
--- a/http/server.h
+++ b/http/server.h
@@ -4,7 +4,7 @@
 //
 //   http::Server S(Io, {"127.0.0.1", 8080}, http::ServerOptions(),
 //                  [](http::Request Req, std::shared_ptr<http::Responder> R) {
-//                    R->whole(200, {}, "hello");
+//                    R->respond(200, {}, "hello");
 //                  });
 #ifndef GOLDCRESTLINK_HTTP_SERVER_H
 #define GOLDCRESTLINK_HTTP_SERVER_H
@@ -32,7 +32,7 @@
   Duration idleTimeout() const { return IdleTimeout; }
   Duration headerTimeout() const { return HeaderTimeout; }
   Duration bodyTimeout() const { return BodyTimeout; }
-  bool sharePort() const { return SharePort; }
+  bool reusePort() const { return ReusePort; }
   /// The longest time between the first bytes of a request and the end of its
   /// header.
   ServerOptions &setHeaderTimeout(Duration Timeout) {
@@ -64,8 +64,8 @@
   }
   /// Sets SO_REUSEPORT, so that several servers, one per thread, can accept on
   /// the same port.
-  ServerOptions &setSharePort(bool Enabled) {
-    SharePort = Enabled;
+  ServerOptions &setReusePort(bool Enabled) {
+    ReusePort = Enabled;
     return *this;
   }
 
@@ -77,7 +77,7 @@
   Duration IdleTimeout = std::chrono::seconds(75);
   Duration HeaderTimeout = std::chrono::seconds(75);
   Duration BodyTimeout = std::chrono::seconds(60);
-  bool SharePort = false;
+  bool ReusePort = false;
 };
 
 /// Responds to one request. Not thread-safe: call all methods on the server's
@@ -86,8 +86,8 @@
 public:
   virtual ~Responder() = default;
   /// Sends a complete response. Precondition: nothing was sent before.
-  virtual void whole(unsigned Status, const Headers &Fields,
-                     std::string Body) = 0;
+  virtual void respond(unsigned Status, const Headers &Fields,
+                       std::string Body) = 0;
   /// Starts a streamed response (chunked). Precondition: nothing was sent
   /// before.
   virtual void begin(unsigned Status, const Headers &Fields) = 0;
@@ -101,7 +101,7 @@
   /// Sets a callback that is called at most once: when the connection closes
   /// before the response is complete. It is posted, never called from within
   /// another method of this object.
-  virtual void onGone(std::function<void()> Callback) = 0;
+  virtual void onDisconnect(std::function<void()> Callback) = 0;
 };
 
 using Handler = std::function<void(Request, std::shared_ptr<Responder>)>;
--- a/http/testing/http_test.cc
+++ b/http/testing/http_test.cc
@@ -167,7 +167,7 @@
       Io, {"127.0.0.1", 0}, Limits,
       [&](http::Request Req, std::shared_ptr<http::Responder> R) {
         ++Served;
-        R->whole(200, {}, Req.Method + " " + Req.Target + " " + Req.Body);
+        R->respond(200, {}, Req.Method + " " + Req.Target + " " + Req.Body);
       });
   std::string Out;
   std::thread Caller([&] {
--- a/routing/side_view.cc
+++ b/routing/side_view.cc
@@ -38,27 +38,27 @@
   ListedGone = IsGone;
 }
 
-SideView::Verdict SideView::checkLiveness(Time Now, const Options &Opts,
-                                          size_t Outstanding) {
+SideView::LivenessStep SideView::checkLiveness(Time Now, const Options &Opts,
+                                               size_t Outstanding) {
   if (IsUnreachable && Now - UnreachableSince >= Opts.unreachableBackoff()) {
     UnreachableSince = Now;
     ReplyAwaitedSince = Now;
-    return Verdict::Reset;
+    return LivenessStep::Reset;
   }
   if (ReplyAwaitedSince == Time{}) {
     const bool Quiet = Now - LastReceived > Opts.quietLimit();
-    return Outstanding > 0 && Quiet ? Verdict::Ask : Verdict::Fine;
+    return Outstanding > 0 && Quiet ? LivenessStep::Ask : LivenessStep::Fine;
   }
   if (IsUnreachable || Now - ReplyAwaitedSince <= Opts.answerTimeout())
-    return Verdict::Fine;
+    return LivenessStep::Fine;
   ReplyAwaitedSince = Now;
   if (!WasReset) {
     WasReset = true;
-    return Verdict::Reset;
+    return LivenessStep::Reset;
   }
   IsUnreachable = true;
   UnreachableSince = Now;
-  return Verdict::Unreachable;
+  return LivenessStep::Unreachable;
 }
 
 bool SideView::available(Time Now, const Options &Opts) const {
--- a/routing/side_view.h
+++ b/routing/side_view.h
@@ -67,7 +67,7 @@
   /// Checks how long the side has been silent and returns the step to take.
   /// Records the step as taken, so that each is returned once; Fine means that
   /// there is none. \p Outstanding is the number of attempts open at the side.
-  Verdict checkLiveness(Time Now, const Options &Opts, size_t Outstanding);
+  LivenessStep checkLiveness(Time Now, const Options &Opts, size_t Outstanding);
   /// Sets whether the published list names the upstream as draining, or no
   /// longer contains it.
   void setListed(bool Draining, bool Gone);
--- a/side/actions.h
+++ b/side/actions.h
@@ -12,7 +12,7 @@
 #include <variant>
 #include <vector>
 
-#include "base/line_class.h"
+#include "base/log_class.h"
 #include "wire/generated/messages.pb.h"
 
 namespace goldcrestlink::side {
@@ -65,7 +65,7 @@
 
 /// One line for the decision log.
 struct LogDecision {
-  LineClass Class;
+  LogClass Class;
   std::string Line;
 };
 
--- a/side/side_loads.cc
+++ b/side/side_loads.cc
@@ -6,7 +6,7 @@
 #include <algorithm>
 #include <map>
 
-#include "side/side_machine.h"
+#include "side/side_state_machine.h"
 
 namespace goldcrestlink::side {
 
@@ -69,7 +69,7 @@
   LoadStarted[Want.Adapter] = Now.Steady;
   ++Counters.Loads;
   Out.emplace_back(LoadAdapter{*Slot, Want.Key});
-  log(LineClass::Routine,
+  log(LogClass::Routine,
       "load adapter=" + Want.Key + " slot=" + std::to_string(*Slot) +
           " evicted=" + (Evicted.empty() ? "-" : Evicted) +
           " waiting=" + std::to_string(Want.Waiting),
@@ -126,7 +126,7 @@
     releasePermit(Permit->second, Hash, true, Out);
     LoadPermits.erase(Permit);
   }
-  log(LineClass::Routine,
+  log(LogClass::Routine,
       "load adapter=" + Key + " slot=" + std::to_string(Slot) +
           (Loaded ? " done" : " failed") + " took_us=" +
           std::to_string((Now.Steady - LoadStarted[Hash]).count()),
--- a/side/side_runs.cc
+++ b/side/side_runs.cc
@@ -7,7 +7,7 @@
 #include <cassert>
 
 #include "base/hash.h"
-#include "side/side_machine.h"
+#include "side/side_state_machine.h"
 
 namespace goldcrestlink::side {
 
@@ -91,7 +91,7 @@
   Runs.emplace(Id, std::move(NewRun));
   countStart(Now, Attempt);
   Out.emplace_back(std::move(Start));
-  log(LineClass::Routine,
+  log(LogClass::Routine,
       "start attempt=" + Id + " request=" + Request.request_id() + " adapter=" +
           Attempt.SlotKey + " rank=" + Request.rank() + " waited_us=" +
           std::to_string((Now.Steady - Attempt.Arrived).count()),
@@ -295,8 +295,7 @@
   Down = Status.Result != Kind::Healthy;
   NextCheck = Now.Steady + (Down ? Opts.checkWhenDown() : Opts.checkEvery());
   if (Down != WasDown)
-    log(LineClass::Kept, std::string("upstream ") + (Down ? "down" : "up"),
-        Out);
+    log(LogClass::Kept, std::string("upstream ") + (Down ? "down" : "up"), Out);
   if (Down)
     return;
   if (LostAdapters || WasDown)
@@ -353,7 +352,7 @@
   for (uint64_t Fingerprint : Fingerprints)
     Suspected.add_fingerprints(Fingerprint);
   broadcastToCell(Notice, Out);
-  log(LineClass::Kept,
+  log(LogClass::Kept,
       "crash id=" + CrashId + " suspects=" + std::to_string(Running.size()),
       Out);
   for (const std::string &Id : Running) {
@@ -402,7 +401,7 @@
   ++Counters.Refused;
   Queue->remove(Id);
   const ActiveAttempt &Attempt = ActiveAttempts.at(Id);
-  log(LineClass::Kept,
+  log(LogClass::Kept,
       "refused attempt=" + Id + " request=" + Attempt.Request.request_id() +
           " adapter=" + Attempt.SlotKey + " rank=" + Attempt.Request.rank() +
           " reason=" + std::string(codeName(Reason)),
@@ -427,7 +426,7 @@
   Last.set_code(std::string(codeName(Reason)));
   Last.set_outcome(static_cast<wire::Outcome>(KnownOutcome));
   Last.set_suspect(Suspect);
-  log(LineClass::Kept,
+  log(LogClass::Kept,
       "failed attempt=" + Id + " reason=" + std::string(codeName(Reason)), Out);
   finishAttempt(Now, Id, std::move(Last), Out);
 }
--- a/side/side_machine.cc
+++ b/side/side_state_machine.cc
@@ -7,7 +7,7 @@
 // attempts by the declared concurrency of the upstream, stored events by
 // AttemptLog, and keys by KeyLedger. Each command costs at most a scan of the
 // waiting attempts.
-#include "side/side_machine.h"
+#include "side/side_state_machine.h"
 
 #include <algorithm>
 #include <cassert>
@@ -164,7 +164,7 @@
   State.set_incarnation(Incarnation);
 }
 
-void SideStateMachine::log(LineClass Class, std::string Line,
+void SideStateMachine::log(LogClass Class, std::string Line,
                            Actions &Out) const {
   Out.emplace_back(LogDecision{Class, std::move(Line)});
 }
@@ -270,7 +270,7 @@
                     Suspicion::Suspect);
   sendEvent(Request.attempt_id(), std::move(Event), Out);
   Log.close(Now.Steady, Request.attempt_id());
-  log(LineClass::Kept,
+  log(LogClass::Kept,
       "refused attempt=" + Request.attempt_id() +
           " request=" + Request.request_id() +
           " adapter=" + slotKey(Request.adapter(), Request.version()) +
@@ -319,7 +319,7 @@
     ++Counters.Refused;
     break;
   }
-  log(LineClass::Routine,
+  log(LogClass::Routine,
       "key attempt=" + Id + " request=" + Request.request_id() +
           " key=" + Request.key() + " reason=" + Event.code(),
       Out);
--- a/side/side_machine.h
+++ b/side/side_state_machine.h
@@ -4,12 +4,14 @@
 // does no I/O, starts no threads and reads no clock: each command takes the
 // present time and appends the resulting actions to a list.
 //
-//   SideMachine Machine(SideMachine::Options(), Config, "engine-1",
-//   Incarnation); Actions Out; Machine.onEnvelope(Now, Peer, Message, Out); for
-//   (Action &A : Out)
+//   SideStateMachine Machine(SideStateMachine::Options(), Config, "engine-1",
+//                            Incarnation);
+//   Actions Out;
+//   Machine.onEnvelope(Now, Peer, Message, Out);
+//   for (Action &A : Out)
 //     perform(A);
-#ifndef GOLDCRESTLINK_SIDE_SIDE_MACHINE_H
-#define GOLDCRESTLINK_SIDE_SIDE_MACHINE_H
+#ifndef GOLDCRESTLINK_SIDE_SIDE_STATE_MACHINE_H
+#define GOLDCRESTLINK_SIDE_SIDE_STATE_MACHINE_H
 
 #include <array>
 #include <memory>
@@ -329,7 +331,7 @@
                    const wire::Attempt &Request, Code Reason,
                    Outcome KnownOutcome, Actions &Out);
   void broadcastToCell(const wire::Envelope &Message, Actions &Out);
-  void log(LineClass Class, std::string Line, Actions &Out) const;
+  void log(LogClass Class, std::string Line, Actions &Out) const;
 
   void applyOwnDeclaration();
   void buildQueue();
@@ -402,4 +404,4 @@
 
 } // namespace goldcrestlink::side
 
-#endif // GOLDCRESTLINK_SIDE_SIDE_MACHINE_H
+#endif // GOLDCRESTLINK_SIDE_SIDE_STATE_MACHINE_H
--- a/side/testing/side_machine_test.cc
+++ b/side/testing/side_state_machine_test.cc
@@ -2,7 +2,7 @@
 #include <doctest/doctest.h>
 
 #include "base/hash.h"
-#include "side/side_machine.h"
+#include "side/side_state_machine.h"
 
 using namespace goldcrestlink;
 using namespace goldcrestlink::side;
--- a/side/upstream_client.cc
+++ b/side/upstream_client.cc
@@ -11,12 +11,12 @@
 // Also the time-out for connecting.
 constexpr Duration CheckTimeout = std::chrono::seconds(1);
 constexpr Duration LoadTimeout = std::chrono::seconds(30);
-constexpr Duration CallSilenceTimeout = std::chrono::seconds(30);
+constexpr Duration CallReadTimeout = std::chrono::seconds(30);
 
 http::CallOptions callOptions(Duration Silence, bool Fresh) {
   return http::CallOptions()
       .setConnectTimeout(CheckTimeout)
-      .setSilenceTimeout(Silence)
+      .setReadTimeout(Silence)
       .setFreshConnection(Fresh);
 }
 
@@ -24,7 +24,7 @@
                                 http::CallError Error) {
   UpstreamStatus Out;
   if (!Answer) {
-    Out.Result = Error == http::CallError::Silent
+    Out.Result = Error == http::CallError::TimedOut
                      ? UpstreamStatus::Kind::Silent
                      : UpstreamStatus::Kind::Refused;
     return Out;
@@ -75,12 +75,12 @@
   };
   Handlers.OnError = [this, Id](http::CallError Error, const std::string &) {
     Calls.erase(Id);
-    Events.Error(Id, Error == http::CallError::NotSent  ? RunError::NotSent
-                     : Error == http::CallError::Silent ? RunError::Silent
-                                                        : RunError::Broken);
+    Events.Error(Id, Error == http::CallError::NotSent    ? RunError::NotSent
+                     : Error == http::CallError::TimedOut ? RunError::Silent
+                                                          : RunError::Broken);
   };
   Calls[Id] = Http.start(Upstream.Address, std::move(R),
-                         callOptions(CallSilenceTimeout, Run.OwnConnection),
+                         callOptions(CallReadTimeout, Run.OwnConnection),
                          std::move(Handlers));
 }
 
--- a/side/upstream_client.h
+++ b/side/upstream_client.h
@@ -21,7 +21,7 @@
 
 #include "config/declarations.h"
 #include "http/client.h"
-#include "side/side_machine.h"
+#include "side/side_state_machine.h"
 
 namespace goldcrestlink::side {
 
--- a/soak/callers.cc
+++ b/soak/callers.cc
@@ -152,7 +152,7 @@
     };
     const Duration MaxWait = Opts.deadline() + Opts.gracePeriod();
     http::CallOptions HttpOptions;
-    HttpOptions.setRepeatReads(false).setSilenceTimeout(MaxWait * 2);
+    HttpOptions.setRetryGets(false).setReadTimeout(MaxWait * 2);
     Call->Running =
         Client.start(Entries[Entry], std::move(Request), HttpOptions, On);
     testing::runLater(
--- a/soak/callers.h
+++ b/soak/callers.h
@@ -12,7 +12,7 @@
 #include <vector>
 
 #include "http/message.h"
-#include "soak/promise_oracle.h"
+#include "soak/guarantee_oracle.h"
 
 namespace goldcrestlink::soak {
 
--- a/soak/promise_oracle.cc
+++ b/soak/guarantee_oracle.cc
@@ -2,7 +2,7 @@
 // event from a caller or upstream is checked against this record as it arrives.
 // Records are kept for the entire soak, so that a run that starts long after
 // its answer is checked as well; memory grows with the number of calls.
-#include "soak/promise_oracle.h"
+#include "soak/guarantee_oracle.h"
 
 #include <algorithm>
 #include <iostream>
@@ -10,7 +10,7 @@
 namespace goldcrestlink::soak {
 
 using testing::RunEnd;
-using testing::RunSeen;
+using testing::RunRecord;
 
 namespace {
 
@@ -182,7 +182,7 @@
          ConfiguredAt + Bounds.Configuration < Record.SentAt;
 }
 
-void GuaranteeOracle::onRun(const RunSeen &Observed) {
+void GuaranteeOracle::onRun(const RunRecord &Observed) {
   const std::lock_guard Lock(Mutex);
   const auto It = Calls.find(Observed.RequestId);
   if (It == Calls.end())
@@ -200,7 +200,7 @@
 }
 
 void GuaranteeOracle::checkRun(const CallRecord &Record,
-                               const RunSeen &Observed) {
+                               const RunRecord &Observed) {
   if (Observed.Body != Record.Sent.Body ||
       Observed.Target != Record.Sent.Target)
     addViolation("UNASKED", Record.Sent.Id,
--- a/soak/promise_oracle.h
+++ b/soak/guarantee_oracle.h
@@ -10,8 +10,8 @@
 //   Oracle.onAnswer(Now, "r1", Answer);
 //   Oracle.finish();
 //   for (const std::string &Violation : Oracle.violations()) ...
-#ifndef GOLDCRESTLINK_SOAK_PROMISE_ORACLE_H
-#define GOLDCRESTLINK_SOAK_PROMISE_ORACLE_H
+#ifndef GOLDCRESTLINK_SOAK_GUARANTEE_ORACLE_H
+#define GOLDCRESTLINK_SOAK_GUARANTEE_ORACLE_H
 
 #include <map>
 #include <mutex>
@@ -179,4 +179,4 @@
 
 } // namespace goldcrestlink::soak
 
-#endif // GOLDCRESTLINK_SOAK_PROMISE_ORACLE_H
+#endif // GOLDCRESTLINK_SOAK_GUARANTEE_ORACLE_H
--- a/standins/engine.cc
+++ b/standins/engine.cc
@@ -102,21 +102,21 @@
     if (Path == "/v1/slots") {
       nlohmann::json Out;
       Out["slots"] = Slots;
-      return Responder->whole(200, {{"Content-Type", "application/json"}},
-                              Out.dump());
+      return Responder->respond(200, {{"Content-Type", "application/json"}},
+                                Out.dump());
     }
-    Responder->whole(404, {}, "");
+    Responder->respond(404, {}, "");
   }
 
   void onCompletion(const http::Request &Request,
                     std::shared_ptr<http::Responder> Responder) {
     const auto Json = nlohmann::json::parse(Request.Body, nullptr, false);
     if (!Json.is_object())
-      return Responder->whole(400, {}, "");
+      return Responder->respond(400, {}, "");
     const std::string Model = Json.value("model", std::string());
     const auto Slot = std::find(Slots.begin(), Slots.end(), Model);
     if (Model.empty() || Slot == Slots.end())
-      return Responder->whole(404, {}, "");
+      return Responder->respond(404, {}, "");
     auto Seq = std::make_shared<Sequence>();
     Seq->Tag = Json.value("user", std::string());
     RunTags.push_back(Seq->Tag);
@@ -128,7 +128,7 @@
     Seq->Tokens = Json.value("max_tokens", size_t(16));
     Seq->Stream = Json.value("stream", false);
     Seq->Slot = static_cast<size_t>(Slot - Slots.begin());
-    Responder->onGone([Seq] { Seq->CallerDisconnected = true; });
+    Responder->onDisconnect([Seq] { Seq->CallerDisconnected = true; });
     if (Seq->Stream)
       Responder->begin(200, {{"Content-Type", "text/event-stream"}});
     if (Config.StepBaseMs <= 0) {
@@ -201,8 +201,8 @@
       Seq.Responder->data("data: [DONE]\n\n");
       Seq.Responder->end();
     } else {
-      Seq.Responder->whole(200, {{"Content-Type", "application/json"}},
-                           responseJson(Seq, Seq.Text));
+      Seq.Responder->respond(200, {{"Content-Type", "application/json"}},
+                             responseJson(Seq, Seq.Text));
     }
     if (WrongModels > 0)
       --WrongModels;
@@ -219,10 +219,10 @@
     if (std::any_of(Batch.begin(), Batch.end(), UsesSlot) ||
         std::any_of(Waiting.begin(), Waiting.end(), UsesSlot)) {
       ++Violations;
-      return Responder->whole(409, {}, "");
+      return Responder->respond(409, {}, "");
     }
     if (Slot >= Slots.size())
-      return Responder->whole(400, {}, "");
+      return Responder->respond(400, {}, "");
     Slots[Slot].clear();
     ++Loads;
     const bool Fails =
@@ -236,7 +236,7 @@
         return Responder->abort();
       if (Loaded)
         Slots[Slot] = Adapter;
-      Responder->whole(Loaded ? 200 : 500, {}, "");
+      Responder->respond(Loaded ? 200 : 500, {}, "");
     };
     if (Config.Store.empty())
       return FinishLoad(!Fails);
@@ -291,7 +291,7 @@
             std::to_string(AdapterSteps) + "\nloads " + std::to_string(Loads) +
             "\nviolations " + std::to_string(Violations) + "\ncrashes " +
             std::to_string(Crashes) + "\n";
-    Responder.whole(200, {}, Out);
+    Responder.respond(200, {}, Out);
   }
 
   boost::asio::io_context &Io;
--- a/standins/platform.cc
+++ b/standins/platform.cc
@@ -73,10 +73,10 @@
                      std::move(Responder));
     if (Path == "/instances") {
       ++ListCalls;
-      return Responder->whole(200, {{"Content-Type", "application/json"}},
-                              Instances);
+      return Responder->respond(200, {{"Content-Type", "application/json"}},
+                                Instances);
     }
-    Responder->whole(404, {}, "");
+    Responder->respond(404, {}, "");
   }
 
   static http::Headers versionHeader(uint64_t Version) {
@@ -87,19 +87,19 @@
     ++ReadCalls;
     const auto It = Objects.find(Name);
     if (It == Objects.end())
-      return Responder.whole(404, {}, "");
-    Responder.whole(200, versionHeader(It->second.Version), It->second.Body);
+      return Responder.respond(404, {}, "");
+    Responder.respond(200, versionHeader(It->second.Version), It->second.Body);
   }
 
   void onPut(const std::string &Name, http::Request &Request,
              http::Responder &Responder) {
     ++WriteCalls;
     if (Request.Body.size() > MaxValueBytes)
-      return Responder.whole(413, {}, "");
+      return Responder.respond(413, {}, "");
     const uint64_t Expected = parseNumber(Request.header("If-Version"));
     Object &O = Objects[Name];
     if (O.Version != Expected)
-      return Responder.whole(409, versionHeader(O.Version), "");
+      return Responder.respond(409, versionHeader(O.Version), "");
     O.Version = ++LastVersion;
     O.Body = std::move(Request.Body);
     answerWatches(Name, O);
@@ -107,7 +107,7 @@
       --AnswersToLose;
       return Responder.abort();
     }
-    Responder.whole(200, versionHeader(O.Version), "");
+    Responder.respond(200, versionHeader(O.Version), "");
   }
 
   void onWatch(const std::string &Name, const http::Request &Request,
@@ -116,24 +116,25 @@
     const uint64_t Version = parseNumber(Request.query("version"));
     const auto It = Objects.find(Name);
     if (It != Objects.end() && It->second.Version > Version)
-      return Responder->whole(200, versionHeader(It->second.Version),
-                              It->second.Body);
+      return Responder->respond(200, versionHeader(It->second.Version),
+                                It->second.Body);
     auto Timer = std::make_unique<boost::asio::steady_timer>(Io);
     Timer->expires_after(
         std::chrono::milliseconds(parseNumber(Request.query("wait_ms"))));
     OpenWatches.push_back({Name, Version, Responder, std::move(Timer)});
     const auto Added = std::prev(OpenWatches.end());
-    Responder->onGone([this, Weak = std::weak_ptr<http::Responder>(Responder)] {
-      OpenWatches.remove_if(
-          [&](const Watch &W) { return W.Responder == Weak.lock(); });
-    });
+    Responder->onDisconnect(
+        [this, Weak = std::weak_ptr<http::Responder>(Responder)] {
+          OpenWatches.remove_if(
+              [&](const Watch &W) { return W.Responder == Weak.lock(); });
+        });
     Added->Timer->async_wait(
         [this, Responder](boost::system::error_code Error) {
           if (Error)
             return;
           OpenWatches.remove_if(
               [&](const Watch &W) { return W.Responder == Responder; });
-          Responder->whole(204, {}, "");
+          Responder->respond(204, {}, "");
         });
   }
 
@@ -143,7 +144,7 @@
         ++It;
         continue;
       }
-      It->Responder->whole(200, versionHeader(O.Version), O.Body);
+      It->Responder->respond(200, versionHeader(O.Version), O.Body);
       It = OpenWatches.erase(It);
     }
   }
@@ -160,17 +161,17 @@
     } else if (Path == "/admin/instances") {
       Instances = std::move(Request.Body);
     } else if (Path == "/admin/counts") {
-      return Responder.whole(200, {},
-                             "reads " + std::to_string(ReadCalls) +
-                                 "\nwrites " + std::to_string(WriteCalls) +
-                                 "\nwatches " + std::to_string(WatchCalls) +
-                                 "\nlists " + std::to_string(ListCalls) +
-                                 "\nopen_watches " +
-                                 std::to_string(OpenWatches.size()) + "\n");
+      return Responder.respond(200, {},
+                               "reads " + std::to_string(ReadCalls) +
+                                   "\nwrites " + std::to_string(WriteCalls) +
+                                   "\nwatches " + std::to_string(WatchCalls) +
+                                   "\nlists " + std::to_string(ListCalls) +
+                                   "\nopen_watches " +
+                                   std::to_string(OpenWatches.size()) + "\n");
     } else {
-      return Responder.whole(404, {}, "");
+      return Responder.respond(404, {}, "");
     }
-    Responder.whole(200, {}, "");
+    Responder.respond(200, {}, "");
   }
 
   boost::asio::io_context &Io;
--- a/standins/relay.cc
+++ b/standins/relay.cc
@@ -86,8 +86,8 @@
                [this](http::Request Request,
                       std::shared_ptr<http::Responder> Responder) {
                  silence(Request.query("source"), Request.query("target"));
-                 Responder->whole(200, {},
-                                  std::to_string(Silenced.size()) + "\n");
+                 Responder->respond(200, {},
+                                    std::to_string(Silenced.size()) + "\n");
                }) {}
 
   void add(const std::string &Mapping) {
--- a/standins/service.cc
+++ b/standins/service.cc
@@ -45,23 +45,23 @@
   void onRequest(const http::Request &Request,
                  std::shared_ptr<http::Responder> Responder) {
     if (Request.path() == "/healthz")
-      return Responder->whole(200, {}, "ok");
+      return Responder->respond(200, {}, "ok");
     if (Request.path() == "/admin/runs") {
       std::string List;
       for (const auto &[Key, Count] : Runs)
         List += Key + " " + std::to_string(Count) + "\n";
-      return Responder->whole(200, {}, List);
+      return Responder->respond(200, {}, List);
     }
     if (ChecksFencing && !Request.header("Idempotency-Key").empty() &&
         isStale(Request))
-      return Responder->whole(412, {}, "stale fencing number");
+      return Responder->respond(412, {}, "stale fencing number");
     const std::string Key(Request.header("Idempotency-Key"));
     ++Runs[Key.empty() ? "none" : Key];
     auto Timer = std::make_shared<boost::asio::steady_timer>(Io);
     Timer->expires_after(std::chrono::milliseconds(CallMs));
     Timer->async_wait([Responder, Timer,
                        Body = Request.Body](boost::system::error_code) {
-      Responder->whole(200, {{"Content-Type", "text/plain"}}, "done " + Body);
+      Responder->respond(200, {{"Content-Type", "text/plain"}}, "done " + Body);
     });
   }
 
--- a/standins/store.cc
+++ b/standins/store.cc
@@ -42,10 +42,10 @@
   void onRequest(const http::Request &Request,
                  std::shared_ptr<http::Responder> Responder) {
     if (Request.path() == "/counts")
-      return Responder->whole(200, {},
-                              "fetched " + std::to_string(FetchCount) +
-                                  "\nmost_in_flight " +
-                                  std::to_string(MostInFlight) + "\n");
+      return Responder->respond(200, {},
+                                "fetched " + std::to_string(FetchCount) +
+                                    "\nmost_in_flight " +
+                                    std::to_string(MostInFlight) + "\n");
     ++InFlight;
     MostInFlight = std::max(MostInFlight, InFlight);
     WaitingFetches.push_back(std::move(Responder));
@@ -77,7 +77,7 @@
     Timer->expires_after(fromSeconds(Config.LoadSeconds * Slowdown));
     Timer->async_wait([this, Responder, Timer](boost::system::error_code) {
       --InFlight;
-      Responder->whole(200, {}, "");
+      Responder->respond(200, {}, "");
     });
   }
 
--- a/testing/platform_process_test.cc
+++ b/testing/platform_process_test.cc
@@ -57,7 +57,7 @@
     try {
       http::Request R;
       R.Target = "/-/readiness";
-      return http::fetchNow(Ready[I], std::move(R), http::CallOptions())
+      return http::fetchBlocking(Ready[I], std::move(R), http::CallOptions())
                  .Head.Status == 200;
     } catch (const std::runtime_error &) {
       return false;
@@ -79,8 +79,8 @@
       R.Fields.push_back({"Token-Count", "100,20"});
     }
     try {
-      return http::fetchNow(Entries[Entry], std::move(R),
-                            http::CallOptions().setFreshConnection(true));
+      return http::fetchBlocking(Entries[Entry], std::move(R),
+                                 http::CallOptions().setFreshConnection(true));
     } catch (const std::runtime_error &) {
       return {};
     }
@@ -92,8 +92,8 @@
     http::Request R;
     R.Target = "/metrics";
     const http::Response Page =
-        http::fetchNow({Host, static_cast<uint16_t>(MetricsPort)}, std::move(R),
-                       http::CallOptions());
+        http::fetchBlocking({Host, static_cast<uint16_t>(MetricsPort)},
+                            std::move(R), http::CallOptions());
     std::istringstream Lines(Page.Body);
     for (std::string Found, Value; Lines >> Found;)
       if (Found == Name && Lines >> Value)
--- a/testing/process_test.cc
+++ b/testing/process_test.cc
@@ -17,7 +17,7 @@
 
 #include "base/random.h"
 #include "http/client.h"
-#include "testing/fleet.h"
+#include "testing/test_deployment.h"
 #include "wire/socket.h"
 
 using namespace goldcrestlink;
@@ -36,7 +36,7 @@
 http::CallOptions longTimeouts() {
   return http::CallOptions()
       .setConnectTimeout(std::chrono::seconds(30))
-      .setSilenceTimeout(std::chrono::seconds(60))
+      .setReadTimeout(std::chrono::seconds(60))
       .setFreshConnection(true);
 }
 
@@ -47,7 +47,7 @@
   R.Target = Target;
   R.Fields = std::move(Fields);
   R.Body = Body;
-  return http::fetchNow(To, std::move(R), longTimeouts());
+  return http::fetchBlocking(To, std::move(R), longTimeouts());
 }
 
 std::string completionBody(const std::string &Model, const std::string &Tag,
@@ -413,10 +413,11 @@
   const auto Processes = [&] {
     http::Request R;
     R.Target = "/objects/status/cell-1";
-    const auto Json = nlohmann::json::parse(
-        http::fetchNow(Deployment.Platform.Http, std::move(R), longTimeouts())
-            .Body,
-        nullptr, false);
+    const auto Json =
+        nlohmann::json::parse(http::fetchBlocking(Deployment.Platform.Http,
+                                                  std::move(R), longTimeouts())
+                                  .Body,
+                              nullptr, false);
     return Json.is_object() ? Json["processes"].size() : 0;
   };
   // 3 engines, 2 services, 2 entries.
--- a/testing/world.cc
+++ b/testing/simulation.cc
@@ -3,12 +3,12 @@
 // A paused node handles no message or timer until it resumes, but its upstream
 // continues with calls and loads that were already sent to it. The cost is
 // bounded by the simulated time and the request rate.
-#include "testing/world.h"
+#include "testing/simulation.h"
 
 #include <algorithm>
 
 #include "base/hash.h"
-#include "testing/world_nodes.h"
+#include "testing/simulation_nodes.h"
 
 namespace goldcrestlink::testing {
 
--- a/testing/world.h
+++ b/testing/simulation.h
@@ -6,8 +6,8 @@
 //   Simulation Sim(SimulationOptions{.Seed = 7, .Faults = AllFaults});
 //   Sim.run();
 //   CHECK(Sim.violations().empty());
-#ifndef GOLDCRESTLINK_TESTING_WORLD_H
-#define GOLDCRESTLINK_TESTING_WORLD_H
+#ifndef GOLDCRESTLINK_TESTING_SIMULATION_H
+#define GOLDCRESTLINK_TESTING_SIMULATION_H
 
 #include <functional>
 #include <map>
@@ -17,9 +17,9 @@
 #include <vector>
 
 #include "base/random.h"
-#include "entry/entry_machine.h"
+#include "entry/entry_state_machine.h"
 #include "membership/shard_lease.h"
-#include "side/side_machine.h"
+#include "side/side_state_machine.h"
 
 namespace goldcrestlink::testing {
 
@@ -152,4 +152,4 @@
 
 } // namespace goldcrestlink::testing
 
-#endif // GOLDCRESTLINK_TESTING_WORLD_H
+#endif // GOLDCRESTLINK_TESTING_SIMULATION_H
--- a/testing/world_engines.cc
+++ b/testing/simulation_engines.cc
@@ -1,11 +1,11 @@
 // The upstreams of a Simulation. They execute the actions of their sides. Every
 // step takes effect after a delay, in which the engine may crash and the side
 // may restart; CrashCount and RestartCount show whether that has happened.
-#include "testing/world.h"
+#include "testing/simulation.h"
 
 #include <algorithm>
 
-#include "testing/world_nodes.h"
+#include "testing/simulation_nodes.h"
 
 namespace goldcrestlink::testing {
 
--- a/testing/world_leases.cc
+++ b/testing/simulation_leases.cc
@@ -1,9 +1,9 @@
 // How the sides of a Simulation renew their shard leases: a read, the planning
 // and a conditional write. Each step follows a delay in which the side may
 // pause or restart and the platform may fail.
-#include "testing/world.h"
+#include "testing/simulation.h"
 
-#include "testing/world_nodes.h"
+#include "testing/simulation_nodes.h"
 
 namespace goldcrestlink::testing {
 
--- a/testing/world_nodes.h
+++ b/testing/simulation_nodes.h
@@ -3,10 +3,10 @@
 //
 //   Simulation::SideNode &S = *Sides.front();
 //   S.Fake.Runs.size();
-#ifndef GOLDCRESTLINK_TESTING_WORLD_NODES_H
-#define GOLDCRESTLINK_TESTING_WORLD_NODES_H
+#ifndef GOLDCRESTLINK_TESTING_SIMULATION_NODES_H
+#define GOLDCRESTLINK_TESTING_SIMULATION_NODES_H
 
-#include "testing/world.h"
+#include "testing/simulation.h"
 
 namespace goldcrestlink::testing {
 
@@ -68,4 +68,4 @@
 
 } // namespace goldcrestlink::testing
 
-#endif // GOLDCRESTLINK_TESTING_WORLD_NODES_H
+#endif // GOLDCRESTLINK_TESTING_SIMULATION_NODES_H
--- a/testing/world_test.cc
+++ b/testing/simulation_test.cc
@@ -6,7 +6,7 @@
 
 #include <doctest/doctest.h>
 
-#include "testing/world.h"
+#include "testing/simulation.h"
 
 using namespace goldcrestlink;
 using namespace goldcrestlink::testing;
--- a/testing/store_standin.cc
+++ b/testing/store_standin.cc
@@ -70,12 +70,12 @@
 
 void StoreStandIn::answerWatch(const PendingWatch &Pending) {
   if (Pending.Since < HistoryFrom)
-    return Pending.To->whole(410, jsonType(), "{}");
+    return Pending.To->respond(410, jsonType(), "{}");
   Json Events = Json::array();
   for (const Change &C : Changes)
     if (C.Revision > Pending.Since && C.Kind == Pending.Kind)
       Events.push_back(C.Event);
-  Pending.To->whole(
+  Pending.To->respond(
       200, jsonType(),
       Json{{"events", Events}, {"store_revision", Revision}}.dump());
 }
@@ -90,7 +90,7 @@
 void StoreStandIn::onRequest(const http::Request &Request,
                              const ResponderPtr &Responder) {
   if (!Request.path().starts_with(Prefix))
-    return Responder->whole(404, {}, "");
+    return Responder->respond(404, {}, "");
   if (!answerWithFault(Request, Responder))
     serve(Request, Responder);
 }
@@ -101,10 +101,10 @@
   case StoreFault::None:
     return false;
   case StoreFault::Unavailable:
-    Responder->whole(503, {}, "");
+    Responder->respond(503, {}, "");
     return true;
   case StoreFault::Throttled:
-    Responder->whole(429, {{"Retry-After", "1"}}, "");
+    Responder->respond(429, {{"Retry-After", "1"}}, "");
     return true;
   case StoreFault::Silent:
     Unanswered.push_back(Responder);
@@ -114,7 +114,7 @@
              [this, Request, Responder] { serve(Request, Responder); });
     return true;
   case StoreFault::Garbage:
-    Responder->whole(200, jsonType(), "{\"items\": 7, \"events\": [[");
+    Responder->respond(200, jsonType(), "{\"items\": 7, \"events\": [[");
     return true;
   case StoreFault::Truncated:
     Responder->begin(200, jsonType());
@@ -140,7 +140,7 @@
   if (const auto It = Objects.find(Kind); It != Objects.end())
     for (const auto &[Name, Object] : It->second)
       Items.push_back(Object);
-  Responder->whole(
+  Responder->respond(
       200, jsonType(),
       Json{{"items", Items}, {"truncated", false}, {"store_revision", Revision}}
           .dump());
@@ -158,7 +158,7 @@
     if (It == Watches.end())
       return;
     Watches.erase(It);
-    To->whole(
+    To->respond(
         200, jsonType(),
         Json{{"events", Json::array()}, {"store_revision", Revision}}.dump());
   });
--- a/testing/fleet.cc
+++ b/testing/test_deployment.cc
@@ -2,7 +2,7 @@
 // in the work folder. The start waits for conditions rather than for fixed
 // times; each wait is bounded by StartSeconds, which leaves room for a busy
 // machine.
-#include "testing/fleet.h"
+#include "testing/test_deployment.h"
 
 #include <filesystem>
 #include <fstream>
@@ -25,7 +25,7 @@
 
 std::string fetchBody(const http::Endpoint &To, http::Request R) {
   try {
-    return http::fetchNow(To, std::move(R), http::CallOptions()).Body;
+    return http::fetchBlocking(To, std::move(R), http::CallOptions()).Body;
   } catch (const std::runtime_error &) {
     return {};
   }
--- a/testing/fleet.h
+++ b/testing/test_deployment.h
@@ -2,11 +2,11 @@
 // platform, weight store, engines and plain services are stand-ins; sides and
 // entries are the daemon. The command-line tool applies the declarations.
 //
-//   Fleet F(FleetShape{.Engines = 4}, "build", "/tmp/run");
-//   F.start();
-//   http::Endpoint E = F.entry(0);
-#ifndef GOLDCRESTLINK_TESTING_FLEET_H
-#define GOLDCRESTLINK_TESTING_FLEET_H
+//   TestDeployment D(DeploymentOptions{.Engines = 4}, "build", "/tmp/run");
+//   D.start();
+//   http::Endpoint E = D.entry(0);
+#ifndef GOLDCRESTLINK_TESTING_TEST_DEPLOYMENT_H
+#define GOLDCRESTLINK_TESTING_TEST_DEPLOYMENT_H
 
 #include <memory>
 #include <string>
@@ -132,4 +132,4 @@
 
 } // namespace goldcrestlink::testing
 
-#endif // GOLDCRESTLINK_TESTING_FLEET_H
+#endif // GOLDCRESTLINK_TESTING_TEST_DEPLOYMENT_H
--- a/testing/upstream_standin.cc
+++ b/testing/upstream_standin.cc
@@ -77,14 +77,14 @@
                 [](const auto &Weak) { return Weak.expired(); });
   OpenResponders.push_back(Responder);
   if (Request.path() == "/health")
-    return Responder->whole(200, {{"Instance-Id", Description.Id}}, "");
+    return Responder->respond(200, {{"Instance-Id", Description.Id}}, "");
   if (Request.path() == "/-/report")
     return Fault == UpstreamFault::Silent
                ? Unanswered.push_back(Responder)
-               : Responder->whole(200, jsonType(), report().dump());
+               : Responder->respond(200, jsonType(), report().dump());
   if (Request.header("Expect-Instance") != Description.Id) {
     reportRejection(Request);
-    return Responder->whole(421, {{"Instance-Id", Description.Id}}, "");
+    return Responder->respond(421, {{"Instance-Id", Description.Id}}, "");
   }
   if (Request.path() == "/-/order")
     return onOrder(Request, Responder);
@@ -118,9 +118,9 @@
              if (Fault == UpstreamFault::Silent)
                return Unanswered.push_back(Responder);
              if (Fault != UpstreamFault::Truncated)
-               return Responder->whole(Fault == UpstreamFault::Failing ? 500
-                                                                       : 200,
-                                       signedFields(Request), "done " + Body);
+               return Responder->respond(Fault == UpstreamFault::Failing ? 500
+                                                                         : 200,
+                                         signedFields(Request), "done " + Body);
              Responder->begin(200, signedFields(Request));
              Responder->data("done ");
              Responder->abort();
@@ -136,7 +136,7 @@
       (!ExpectedVersion.empty() &&
        parseNumber(ExpectedVersion) != static_cast<uint64_t>(It->second))) {
     reportRejection(Request);
-    return Responder->whole(421, {}, "");
+    return Responder->respond(421, {}, "");
   }
   const int Version = It->second;
   reportRun(Request, Adapter, Version);
@@ -144,7 +144,7 @@
     return Unanswered.push_back(Responder);
   if (Fault == UpstreamFault::Failing) {
     reportRunEnd(std::string(Request.header("Request-Id")), RunEnd::Complete);
-    return Responder->whole(500, signedFields(Request), "");
+    return Responder->respond(500, signedFields(Request), "");
   }
   http::Headers Fields = signedFields(Request);
   Fields.push_back({"Content-Type", "text/event-stream"});
@@ -155,7 +155,7 @@
   Opened->To = Responder;
   Opened->Last = requestedEvents(Request.Body);
   InUse.insert(Adapter);
-  Responder->onGone([this, Opened, StartedIn = Incarnation] {
+  Responder->onDisconnect([this, Opened, StartedIn = Incarnation] {
     if (Incarnation == StartedIn)
       endStream(*Opened, RunEnd::CallerGone);
   });
@@ -203,10 +203,10 @@
   if (Order.is_discarded() || !Order.contains("holder") ||
       !Order.contains("fence_token") || !Order.contains("expect")) {
     reportViolation("order without holder, fencing number or expected count");
-    return Responder->whole(400, {}, "");
+    return Responder->respond(400, {}, "");
   }
   if (!Unloading.empty() || Order["expect"].get<uint64_t>() != OrderCount)
-    return Responder->whole(409, {}, "");
+    return Responder->respond(409, {}, "");
   ++OrderCount;
   const bool IsLoad = Order.value("operation", "") == "model_load";
   const std::string Adapter = Order.value("adapter", "");
@@ -214,7 +214,7 @@
     HasBaseModel = IsLoad;
   else
     IsLoad ? load(Adapter) : unload(Adapter);
-  Responder->whole(IsLoad ? 202 : 200, {}, "");
+  Responder->respond(IsLoad ? 202 : 200, {}, "");
 }
 
 void UpstreamStandIn::load(const std::string &Adapter) {
