--- a/daemon/entry_traffic.cc
+++ b/daemon/entry_traffic.cc
@@ -139,7 +139,7 @@
   }
 
   void send(forward::SendId Id, const forward::IncomingCall &Call,
-            const forward::SendOptions &Terms) override {
+            const forward::SendOptions &SendOpts) override {
     http::CallOptions Options;
     Options.setConnectTimeout(ConnectTimeout)
         .setReadTimeout(ReadTimeout)
@@ -167,8 +167,8 @@
     };
     Metrics.count("sends_total");
     OpenSends[Id.Call] = {
-        Id.Number, UpstreamClient.start(Terms.To.Address,
-                                        platform::encodeCall(Call, Terms),
+        Id.Number, UpstreamClient.start(SendOpts.To.Address,
+                                        platform::encodeCall(Call, SendOpts),
                                         Options, std::move(On))};
   }
 
--- a/forward/forwarder.cc
+++ b/forward/forwarder.cc
@@ -246,10 +246,10 @@
 // Engines.
 
 EngineRequirements Forwarder::requirementsOf(const ActiveCall &Call) const {
-  const InferenceParams &Ask = Call.Request.Inference;
-  return {Ask.Model, Ask.Adapter,
-          CurrentCatalog->releasedVersion(Ask.Model, Ask.Adapter),
-          Ask.PromptTokens, Call.Rank};
+  const InferenceParams &Params = Call.Request.Inference;
+  return {Params.Model, Params.Adapter,
+          CurrentCatalog->releasedVersion(Params.Model, Params.Adapter),
+          Params.PromptTokens, Call.Rank};
 }
 
 Duration Forwarder::maxWaitOf(Time Now, const ActiveCall &Call,
--- a/forward/forwarder.h
+++ b/forward/forwarder.h
@@ -81,7 +81,7 @@
   /// dead.
   virtual void onSideTimeout(const UpstreamRecord &Engine) = 0;
   virtual void send(SendId Send, const IncomingCall &Request,
-                    const SendOptions &Terms) = 0;
+                    const SendOptions &SendOpts) = 0;
   /// Closes the connection that carries the send, if it is still open.
   virtual void cancelSend(SendId Send) = 0;
   /// Sends the caller a complete answer.
--- a/forward/forwarder_sends.cc
+++ b/forward/forwarder_sends.cc
@@ -47,20 +47,21 @@
   ++Call.Sends;
   if (!Call.IsEngine)
     Balancer.onSent(Call.Upstream.Id);
-  SendOptions Terms;
-  Terms.To = Call.Upstream;
-  Terms.TimeLeft = Call.Deadline - Now;
-  Terms.Version = Version;
-  Terms.Rank = Call.Rank;
-  Terms.IsEngine = Call.IsEngine;
-  Terms.AfterEvent = Call.Events.lastId();
-  Port.log(
-      LogClass::Routine,
-      "send " + describe(Call) + " send=" + std::to_string(Call.Sends) +
-          " version=" + std::to_string(Version) +
-          " waited_ms=" + std::to_string((Now - Call.Arrived).count() / 1000) +
-          (Terms.AfterEvent.empty() ? "" : " after_event=" + Terms.AfterEvent));
-  Port.send({Call.Id, Call.Sends}, Call.Request, Terms);
+  SendOptions SendOpts;
+  SendOpts.To = Call.Upstream;
+  SendOpts.TimeLeft = Call.Deadline - Now;
+  SendOpts.Version = Version;
+  SendOpts.Rank = Call.Rank;
+  SendOpts.IsEngine = Call.IsEngine;
+  SendOpts.AfterEvent = Call.Events.lastId();
+  Port.log(LogClass::Routine,
+           "send " + describe(Call) + " send=" + std::to_string(Call.Sends) +
+               " version=" + std::to_string(Version) + " waited_ms=" +
+               std::to_string((Now - Call.Arrived).count() / 1000) +
+               (SendOpts.AfterEvent.empty()
+                    ? ""
+                    : " after_event=" + SendOpts.AfterEvent));
+  Port.send({Call.Id, Call.Sends}, Call.Request, SendOpts);
 }
 
 bool Forwarder::isCurrent(const ActiveCall &Call, SendId Send) const {
--- a/forward/testing/forwarder_test.cc
+++ b/forward/testing/forwarder_test.cc
@@ -67,11 +67,11 @@
 struct Recorder : ForwardPort {
   struct Sent {
     SendId Id;
-    SendOptions Terms;
+    SendOptions SendOpts;
   };
   struct SentAdmission {
     std::string Upstream;
-    AdmissionRequest Ask;
+    AdmissionRequest Request;
   };
 
   void requestAdmission(const UpstreamRecord &Of,
@@ -147,7 +147,7 @@
     R.Version = 1;
     R.Expected = std::chrono::milliseconds(400);
     const Recorder::SentAdmission &A = Port.Admissions.back();
-    Machine.onAdmission(at(Ms), A.Upstream, A.Ask.Id, R);
+    Machine.onAdmission(at(Ms), A.Upstream, A.Request.Id, R);
   }
 
   static AnswerHead head(unsigned Status, bool NotRun = false) {
@@ -254,7 +254,7 @@
     CHECK(E.Port.Status == R.Status);
     CHECK(E.Port.Ends == (R.Status == 0 ? 0 : 1));
     if (R.Sends == 2)
-      CHECK(E.Port.Sends[0].Terms.To.Id != E.Port.Sends[1].Terms.To.Id);
+      CHECK(E.Port.Sends[0].SendOpts.To.Id != E.Port.Sends[1].SendOpts.To.Id);
   }
 }
 
@@ -288,7 +288,7 @@
   E.failSend(10);
   E.replyAdmission(12);
   REQUIRE(E.Port.Sends.size() == 2);
-  CHECK(E.Port.Sends[1].Terms.AfterEvent == "2");
+  CHECK(E.Port.Sends[1].SendOpts.AfterEvent == "2");
   E.answer(20, Entry::head(200), "id: 3\ndata: c\n\n");
   CHECK(E.Port.Body ==
         "id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\ndata: c\n\n");
@@ -339,7 +339,7 @@
   REQUIRE(E.Port.Admissions.back().Upstream == "e2");
   E.Machine.onTimer(at(150));
   REQUIRE(E.Port.Sends.size() == 1);
-  CHECK(E.Port.Sends[0].Terms.To.Id == "e2");
+  CHECK(E.Port.Sends[0].SendOpts.To.Id == "e2");
 }
 
 TEST_CASE("no new call is sent to a draining upstream") {
@@ -358,7 +358,7 @@
   CHECK(E.Port.Admissions.back().Upstream != First);
   E.replyAdmission(6);
   REQUIRE(E.Port.Sends.size() == 1);
-  CHECK(E.Port.Sends[0].Terms.To.Id != First);
+  CHECK(E.Port.Sends[0].SendOpts.To.Id != First);
 }
 
 TEST_CASE("the route's timeout ends every request") {
@@ -387,10 +387,10 @@
   Entry E;
   E.call("/stream/x");
   E.replyAdmission(2);
-  const uint64_t Ask = E.Port.Admissions.back().Ask.Id;
+  const uint64_t AdmissionId = E.Port.Admissions.back().Request.Id;
   E.Machine.onCallerGone(at(5), 1);
   CHECK(E.Port.Cancelled == 1);
-  CHECK(E.Port.EndedAdmissions.contains(Ask));
+  CHECK(E.Port.EndedAdmissions.contains(AdmissionId));
   CHECK(E.Machine.callsInProgress() == 0);
 }
 
--- a/side/upstream_client.cc
+++ b/side/upstream_client.cc
@@ -13,10 +13,10 @@
 constexpr Duration LoadTimeout = std::chrono::seconds(30);
 constexpr Duration CallReadTimeout = std::chrono::seconds(30);
 
-http::CallOptions callOptions(Duration Silence, bool Fresh) {
+http::CallOptions callOptions(Duration ReadTimeout, bool Fresh) {
   return http::CallOptions()
       .setConnectTimeout(CheckTimeout)
-      .setReadTimeout(Silence)
+      .setReadTimeout(ReadTimeout)
       .setFreshConnection(Fresh);
 }
 
