--- a/forward/engine_board.cc
+++ b/forward/engine_board.cc
@@ -1,5 +1,5 @@
-// Each adapter has its own rendezvous order of the engines. The first engines
-// in that order are its preferred engines, as many as its demand needs. A
+// Each adapter has its own rendezvous order of the engines. The first usable
+// engines in that order are its preferred ones, as many as its demand needs. A
 // rarely used adapter thus returns to the engine that can reload it fastest,
 // and a heavily used one gets replicas. The expected time to the first token is
 // the prefill time of the queued prompts and of the request's own prompt, plus
--- a/forward/engine_board.h
+++ b/forward/engine_board.h
@@ -1,7 +1,7 @@
 // Tracks the load, held adapters and health of each engine as this entry knows
 // them, and ranks the engines for a request. The cheapest engine is the one
-// where the first token is expected soonest, with costs added for distance,
-// failures and extra copies of an adapter.
+// where the first token is expected soonest, with costs added for load,
+// distance, failures and extra copies of an adapter.
 //
 //   EngineRanker R(EngineRanker::Options().setDataCentre("dc-1"));
 //   R.onLoad(Now, "id-1", Load);
@@ -42,9 +42,9 @@
   Duration Expected{};
   /// Expected plus the costs of distance, failures, load and extra copies.
   Duration Cost{};
-  /// The engine holds the adapter.
+  /// The engine holds the adapter; always true for the base model itself.
   bool HoldsAdapter = false;
-  /// The side beside the engine answers.
+  /// False during the backoff after the side beside the engine did not answer.
   bool SideAnswers = true;
   /// The engine is one of those that should hold the adapter, given its present
   /// demand.
@@ -103,7 +103,8 @@
     // Share of one engine's prefill time that an adapter may use before it gets
     // a further preferred engine.
     double AdapterUtilisationLimit = 0.3;
-    // Backoff after a side or an engine did not answer.
+    // Backoff after a side did not answer, and first backoff after an engine
+    // did not accept a connection.
     Duration UnresponsiveBackoff = std::chrono::milliseconds(700);
   };
 
@@ -150,6 +151,7 @@
 private:
   struct EngineState {
     EngineLoad Load;
+    // A load report has arrived.
     bool Known = false;
     // By backlog rank: when the engine is expected to finish the prefill of all
     // prompts known to be queued there at this rank or a more urgent one.
--- a/forward/forwarder.cc
+++ b/forward/forwarder.cc
@@ -20,11 +20,12 @@
 
 // Keeps admission ids short on the wire.
 constexpr uint64_t AdmissionIdStartMask = 0x3fffffff;
-// Sent while no configuration is known or too many calls are in progress.
+// Retry-After time while no configuration is known or too many calls are in
+// progress.
 constexpr Duration UnknownRetryAfter = std::chrono::milliseconds(500);
 // Minimum time between prefetch requests for an adapter to the same engine.
 constexpr Duration PrefetchInterval = std::chrono::seconds(1);
-// The times of past prefetch requests are cleared at this number.
+// When the times of this many prefetch requests are stored, all are dropped.
 constexpr size_t MaxPrefetchRecords = 16384;
 // Queued calls per plain service.
 constexpr size_t MaxQueuedCalls = 256;
@@ -72,7 +73,7 @@
       ReadyUpstreams[U.Service].push_back(&U);
   Engines.retain(CurrentCatalog->upstreams());
   Balancer.retain(CurrentCatalog->upstreams());
-  // Calls without admission yet at a draining or removed upstream are placed
+  // Calls that wait for admission at a draining or removed upstream are placed
   // again.
   std::vector<uint64_t> ToMove;
   for (const auto &[Id, Call] : Calls)
@@ -246,10 +247,10 @@
 // Engines.
 
 EngineRequirements Forwarder::requirementsOf(const ActiveCall &Call) const {
-  const InferenceParams &Ask = Call.Request.Inference;
-  return {Ask.Model, Ask.Adapter,
-          CurrentCatalog->releasedVersion(Ask.Model, Ask.Adapter),
-          Ask.PromptTokens, Call.Rank};
+  const InferenceParams &Params = Call.Request.Inference;
+  return {Params.Model, Params.Adapter,
+          CurrentCatalog->releasedVersion(Params.Model, Params.Adapter),
+          Params.PromptTokens, Call.Rank};
 }
 
 Duration Forwarder::maxWaitOf(Time Now, const ActiveCall &Call,
--- a/forward/forwarder.h
+++ b/forward/forwarder.h
@@ -39,9 +39,10 @@
   BadRequest,
   NoUpstream,
   Overloaded,
-  /// No upstream ran the request, and it may not be sent again.
+  /// The last upstream did not run the request, and no retry is allowed.
   NotAccepted,
-  /// The connection failed after the request was sent.
+  /// The connection failed after the request was sent, or no engine was left to
+  /// retry a request that may have run.
   Broken,
   TimedOut,
   /// The answer is unsigned, encoded, too large or for another request, or does
@@ -60,7 +61,7 @@
 /// Identifies one send of one call.
 struct SendId {
   uint64_t Call = 0;
-  /// From 1 within the call.
+  /// From 1 within the call. Used again if nothing was sent.
   uint32_t Number = 0;
 };
 
@@ -72,9 +73,10 @@
   /// Sends an admission request to the side beside \p Engine.
   virtual void requestAdmission(const UpstreamRecord &Engine,
                                 const AdmissionRequest &Request) = 0;
-  /// Notifies the side beside \p Engine that a waiting or granted request has
-  /// ended. \p FirstToken is the time from the send to the first byte of the
-  /// answer; zero if there was none.
+  /// Notifies the side beside \p Engine that a request has ended, whether the
+  /// side has granted it, lets it wait or has not answered yet. \p FirstToken
+  /// is the time from the send to the first byte of the answer; zero if there
+  /// was none.
   virtual void endAdmission(const UpstreamRecord &Engine, uint64_t AdmissionId,
                             Duration FirstToken) = 0;
   /// The side beside \p Engine did not answer in time; its connection may be
@@ -225,8 +227,8 @@
     // Time-out of the current stage.
     Time StageUntil{};
     uint32_t AdmissionRequests = 0;
-    // Shortest time after which a refusing side suggests to ask again; zero if
-    // none has refused.
+    // Shortest time after which a refusing side suggests a retry; zero if none
+    // has refused.
     Duration RetryDelay{};
     // A side replied that an engine without the adapter would not be faster.
     bool OnlyHolders = false;
@@ -266,7 +268,8 @@
   // Engines.
   EngineRequirements requirementsOf(const ActiveCall &Call) const;
   void placeOnEngine(Time Now, ActiveCall &Call);
-  /// Requests a load of the adapter on the preferred engines that lack it.
+  /// Requests a load of the adapter on the preferred engines that lack it,
+  /// apart from the cheapest engine, where the call itself requests admission.
   void prefetchOnPreferred(Time Now, const EngineRequirements &Required,
                            std::span<const EngineCandidate> Ranked);
   Duration maxWaitOf(Time Now, const ActiveCall &Call,
@@ -286,7 +289,8 @@
   void onBroken(Time Now, ActiveCall &Call, EndReason Why);
   void onComplete(Time Now, ActiveCall &Call);
   /// Returns whether the call may be retried, and takes the retry from the
-  /// service's allowance if so. \p AfterRun: an upstream may have run it.
+  /// service's allowance if so. \p AfterRun: an upstream may have run the
+  /// request.
   bool takeRetry(Time Now, ActiveCall &Call, bool AfterRun);
   void placeRetry(Time Now, ActiveCall &Call);
 
--- a/forward/forwarder_sends.cc
+++ b/forward/forwarder_sends.cc
@@ -153,8 +153,8 @@
     Port.answerEnd(Call.Id);
     endCall(Now, Call, ServedOutcome);
   } else if (Call.HeadForwarded) {
-    // The retry of a resumed stream failed after the caller had received a part
-    // of the answer.
+    // The send that was to resume the stream got another kind of answer, after
+    // the caller had received a part of the stream.
     Port.answerAbort(Call.Id);
     endCall(Now, Call, "cut");
   } else if (Status >= 500 && Call.Repeat == Repeatability::Idempotent &&
--- a/forward/service_balancer.cc
+++ b/forward/service_balancer.cc
@@ -1,6 +1,6 @@
-// A choice takes one pass over the service's upstreams. All entries get equal
-// shares of an upstream's slots, at least one call each; a single entry may use
-// all slots.
+// A choice takes one pass over the service's upstreams. Each upstream may have
+// queueFactor() open calls per slot; all entries get equal shares of these, at
+// least one call each, so that a single entry may use all of them.
 #include "forward/service_balancer.h"
 
 #include <algorithm>
--- a/forward/service_balancer.h
+++ b/forward/service_balancer.h
@@ -1,6 +1,6 @@
 // Chooses an upstream of a plain service: the one with the lowest cost, which
 // counts this entry's own open calls, recent failures and distance. An entry
-// uses at most its share of each upstream's slots.
+// has at most its share of the calls that may be open at each upstream.
 //
 //   ServiceBalancer B(ServiceBalancer::Options().setDataCentre("dc-1"));
 //   const UpstreamRecord *U = B.choose(Now, Upstreams, Excluded);
@@ -59,15 +59,15 @@
   void onUnreachable(Time Now, const std::string &Id);
   /// Another incarnation answers at the upstream's address.
   void onReplaced(const std::string &Id);
-  /// Sets the number of entries that share the slots, this one included.
+  /// Sets the number of entries that share the upstreams, this one included.
   void setEntries(size_t Count);
   /// Removes upstreams that are not in \p Known and have no open calls.
   void retain(const std::map<std::string, UpstreamRecord> &Known);
 
   // Queries.
 
-  /// Returns the cheapest upstream, or null if none can be used or this entry's
-  /// share is used up at each.
+  /// Returns the cheapest of \p Upstreams whose id is not in \p Excluded, or
+  /// null if none can be used or this entry's share is used up at each.
   const UpstreamRecord *choose(Time Now,
                                std::span<const UpstreamRecord *const> Upstreams,
                                const std::set<std::string> &Excluded) const;
--- a/forward/testing/forwarder_test.cc
+++ b/forward/testing/forwarder_test.cc
@@ -71,15 +71,16 @@
   };
   struct SentAdmission {
     std::string Upstream;
-    AdmissionRequest Ask;
+    AdmissionRequest Request;
   };
 
-  void requestAdmission(const UpstreamRecord &Of,
-                        const AdmissionRequest &A) override {
-    Admissions.push_back({Of.Id, A});
+  void requestAdmission(const UpstreamRecord &Engine,
+                        const AdmissionRequest &Request) override {
+    Admissions.push_back({Engine.Id, Request});
   }
-  void endAdmission(const UpstreamRecord &, uint64_t AskId, Duration) override {
-    EndedAdmissions.insert(AskId);
+  void endAdmission(const UpstreamRecord &, uint64_t AdmissionId,
+                    Duration) override {
+    EndedAdmissions.insert(AdmissionId);
   }
   void onSideTimeout(const UpstreamRecord &) override { ++SilentSides; }
   void send(SendId S, const IncomingCall &, const SendOptions &T) override {
@@ -147,7 +148,7 @@
     R.Version = 1;
     R.Expected = std::chrono::milliseconds(400);
     const Recorder::SentAdmission &A = Port.Admissions.back();
-    Machine.onAdmission(at(Ms), A.Upstream, A.Ask.Id, R);
+    Machine.onAdmission(at(Ms), A.Upstream, A.Request.Id, R);
   }
 
   static AnswerHead head(unsigned Status, bool NotRun = false) {
@@ -387,10 +388,10 @@
   Entry E;
   E.call("/stream/x");
   E.replyAdmission(2);
-  const uint64_t Ask = E.Port.Admissions.back().Ask.Id;
+  const uint64_t AdmissionId = E.Port.Admissions.back().Request.Id;
   E.Machine.onCallerGone(at(5), 1);
   CHECK(E.Port.Cancelled == 1);
-  CHECK(E.Port.EndedAdmissions.contains(Ask));
+  CHECK(E.Port.EndedAdmissions.contains(AdmissionId));
   CHECK(E.Machine.callsInProgress() == 0);
 }
 
