--- a/routing/side_view.cc
+++ b/routing/side_view.cc
@@ -1,8 +1,8 @@
-// The steps are Fine, Reset, Unreachable; any message received leads back to
-// Fine. An unreachable side is tried again after each unreachableBackoff(),
-// each time on a new connection. Memory is bounded by the engine's adapter
-// slots, and all operations but the update of the resident adapters take
-// constant time.
+// While a side stays silent, the steps are Ask (unless a reply is awaited
+// already), Reset and Unreachable; any message received leads back to Fine. An
+// unreachable side is tried again after each unreachableBackoff(), each time on
+// a new connection. Memory is bounded by the engine's adapter slots, and all
+// operations but the update of the resident adapters take constant time.
 #include "routing/side_view.h"
 
 #include <algorithm>
--- a/routing/side_view.h
+++ b/routing/side_view.h
@@ -1,9 +1,9 @@
 // An entry's knowledge of one side, taken from the side's messages. It may be
 // out of date and is never authoritative. Liveness is checked by messages that
-// require a reply: if none arrives in time, the connection is replaced first;
-// if the next one also gets no reply, the side counts as unreachable. The entry
-// reports each message that it sends or receives, and checks the side regularly
-// for the next step to take.
+// require a reply: if no reply arrives in time, the connection is replaced; if
+// no reply arrives on the new connection either, the side counts as
+// unreachable. The entry reports each message that it sends or receives, and
+// checks the side regularly for the next step to take.
 //
 //   SideView V;
 //   V.setListed(Draining, Gone);
@@ -37,7 +37,8 @@
   private:
     // Time-out of a message that requires a reply.
     Duration AnswerTimeout = std::chrono::milliseconds(400);
-    // Time without a message after which the side is not assumed to be alive.
+    // Time without a message after which the side is no longer assumed to be
+    // alive.
     Duration QuietLimit = std::chrono::seconds(1);
     // Backoff after a side reported that its upstream is down.
     Duration DownBackoff = std::chrono::milliseconds(500);
@@ -65,8 +66,9 @@
   /// A message with the side's state arrived.
   void updateState(Time Now, const wire::SideState &State);
   /// Checks how long the side has been silent and returns the step to take.
-  /// Records the step as taken, so that each is returned once; Fine means that
-  /// there is none. \p Outstanding is the number of attempts open at the side.
+  /// Records Reset and Unreachable as taken, so that each is returned once per
+  /// time-out; Ask is returned until onRequestSent() is called. \p Outstanding
+  /// is the number of attempts open at the side.
   Verdict checkLiveness(Time Now, const Options &Opts, size_t Outstanding);
   /// Sets whether the published list names the upstream as draining, or no
   /// longer contains it.
