--- a/admission/engine_report.h
+++ b/admission/engine_report.h
@@ -36,8 +36,8 @@
   HeldAdapter Adapter;
 };
 
-/// An engine's state at the time of its answer. Requested from the engine's own
-/// instance, it is up to date.
+/// An engine's state. It is up to date at the time of the answer if requested
+/// from the engine's own instance.
 struct EngineReport {
   std::vector<HeldModel> Models;
   std::vector<IncomingAdapter> Incoming;
--- a/admission/side_admission.cc
+++ b/admission/side_admission.cc
@@ -1,7 +1,8 @@
-// Requests are granted at once if the engine holds their adapter and has
-// capacity for them. The others wait in one queue, ordered by rank and arrival,
-// while the adapters they need are loaded (side_orders.cc). All scans are over
-// at most Options::maxWaiting() requests or the engine's adapter slots.
+// A request is granted at once if the engine holds its adapter and has capacity
+// for it, and no other request waits. Otherwise it waits in one queue, ordered
+// by rank and arrival, while the adapters needed are loaded (side_orders.cc).
+// All scans are over at most Options::maxWaiting() requests or the engine's
+// adapter slots.
 #include "admission/side_admission.h"
 
 #include <algorithm>
@@ -118,7 +119,9 @@
                     (1 + Ahead / Loads.size())));
 }
 
-// Number of adapters that will be loaded before this one.
+// Number of adapters expected to be loaded before this one: the engine does not
+// hold them, and a waiting request that can still meet its objective needs
+// them. 0 if this adapter is being loaded already.
 size_t SideAdmission::loadsAhead(const Time &Now,
                                  const std::string &Name) const {
   if (const auto It = Adapters.find(Name);
--- a/admission/side_admission.h
+++ b/admission/side_admission.h
@@ -65,8 +65,8 @@
   /// request's own prompt. Refuse: delay before the entry should retry.
   Duration Expected{};
   /// Refuse: true if another engine may serve the request sooner. False if the
-  /// request waits for an adapter from the store, since another engine would
-  /// take as long to load it.
+  /// request needs a load of its adapter from the store, which would take as
+  /// long on another engine.
   bool TryElsewhere = true;
   /// Reason in one word, for the log.
   std::string_view Reason;
@@ -82,6 +82,7 @@
   double PrefillRate = 20;
   /// Share of the engine's time spent on prefill.
   double Utilisation = 0;
+  /// Number of granted requests that have not ended.
   uint32_t Running = 0;
   /// Adapters that are ready for requests, by adapterHash().
   std::vector<uint32_t> Held;
@@ -129,9 +130,9 @@
   private:
     size_t MaxWaiting = 512;
     LoadWindow::Options Loads;
-    // An order that got no answer may be carried out up to 12 s later. After
-    // this time the same order is sent again with the same count, so that the
-    // engine carries out only one of the two.
+    // Time without an answer after which the same order is sent again, with the
+    // same count, so that the engine carries out only one of the two. An order
+    // that got no answer may be carried out up to 12 s later.
     Duration OrderTimeout = std::chrono::milliseconds(500);
     // Minimum time between two loads of the base model, so that an engine that
     // crashes repeatedly does not use up the load capacity of all sides.
@@ -228,6 +229,7 @@
     uint64_t Version = 0;
     // True while the adapter is being loaded and no version of it is held.
     bool Incoming = false;
+    // When the engine accepted the load order.
     Time OrderedAt{};
     Time LastUsed{};
     // Number of granted requests that use the adapter.
@@ -274,7 +276,7 @@
   // Waiting requests by rank, then by arrival.
   std::list<WaitingRequest> Queue;
   std::list<WaitingRequest> Prefetches;
-  // The order whose outcome is not known yet, if any.
+  // The order whose outcome, or whose effect on the engine, is not known yet.
   std::optional<EngineOrder> OpenOrder;
   Time OrderSentAt{};
   // True if the open order was answered, but the engine's state after it will
--- a/admission/side_orders.cc
+++ b/admission/side_orders.cc
@@ -4,9 +4,9 @@
 // At most one order is open at a time. Every order gives the count of orders
 // that the engine must have when it carries it out. An order without an answer
 // stays open until a report shows a higher count, since from then on the engine
-// refuses it. Until then no different order is sent, so its slot stays
-// reserved. All scans are over at most Options::maxWaiting() requests or the
-// engine's adapter slots.
+// refuses it, or until a repetition of it is answered. Until then no different
+// order is sent, so its slot stays reserved. All scans are over at most
+// Options::maxWaiting() requests or the engine's adapter slots.
 #include <algorithm>
 
 #include "admission/side_admission.h"
