--- a/placement/load_broker.cc
+++ b/placement/load_broker.cc
@@ -1,8 +1,8 @@
 // grant() scans all waiting load requests once per permit. Their number is
 // bounded, and permits are granted at the store's rate, a few per second. The
 // rank is chosen by its declared share of the loads. Within a rank, the load
-// that serves requests of the most worth goes first, then the one that has
-// waited longest.
+// that serves requests of the most worth goes first, then an escalated request,
+// then the one that has waited longest.
 #include "placement/load_broker.h"
 
 #include <algorithm>
--- a/placement/load_broker.h
+++ b/placement/load_broker.h
@@ -42,7 +42,7 @@
   Time Updated{};
 };
 
-/// A side's request for a permit to load one adapter.
+/// A load request: a side asks for a permit to load one adapter.
 struct PermitRequest {
   std::string Side;
   /// Hash of the adapter version.
@@ -110,8 +110,8 @@
   /// first.
   LoadBroker(Options O, std::vector<double> RankShares);
 
-  /// Adds or renews a load request. A request that is not renewed expires.
-  /// Ignored if the broker already holds its maximum number of requests.
+  /// Adds or renews a load request. A request that is not renewed expires. A
+  /// new request is ignored if maxWaiting() requests are waiting already.
   void request(Time Now, const PermitRequest &Request);
   /// Ends a permit, or withdraws a load request. If \p Used is false, the
   /// permit was not used, and its token is returned to the bucket.
--- a/placement/load_planner.cc
+++ b/placement/load_planner.cc
@@ -1,8 +1,8 @@
 // There are few needed loads: one per adapter that requests wait for at this
-// side, so each plan() is a scan over them. A permit request is sent when a
+// side, so each plan() is a scan over them. A load request is sent when a
 // load is newly needed, when its priority or escalation has changed, and to
-// renew it. A broker that leaves a request unanswered is skipped for the
-// backoff period.
+// renew it, but not while the previous request is unanswered. A broker that
+// leaves a request unanswered is skipped for the backoff period.
 #include "placement/load_planner.h"
 
 #include <algorithm>
@@ -22,9 +22,9 @@
 }
 
 void LoadPlanner::backOffSilentBrokers(Time Now) {
-  for (auto &[Adapter, A] : OpenRequests)
-    if (!A.Answered && Now - A.Sent > Limits.answerTimeout())
-      BackoffUntil[A.Broker] = Now + Limits.brokerBackoff();
+  for (auto &[Adapter, R] : OpenRequests)
+    if (!R.Answered && Now - R.Sent > Limits.answerTimeout())
+      BackoffUntil[R.Broker] = Now + Limits.brokerBackoff();
   std::erase_if(OpenRequests, [&](const auto &Item) {
     const auto It = BackoffUntil.find(Item.second.Broker);
     return It != BackoffUntil.end() && It->second > Now;
@@ -35,25 +35,25 @@
 LoadPlanner::plan(Time Now, std::span<const NeededLoad> Needed) {
   backOffSilentBrokers(Now);
   std::erase_if(OpenRequests, [&](const auto &Item) {
-    return std::none_of(Needed.begin(), Needed.end(), [&](const NeededLoad &W) {
-      return W.Adapter == Item.first;
+    return std::none_of(Needed.begin(), Needed.end(), [&](const NeededLoad &L) {
+      return L.Adapter == Item.first;
     });
   });
   std::vector<BrokerRequest> Out;
   const std::string Target = broker(Now);
   if (Target.empty())
     return Out;
-  for (const NeededLoad &W : Needed) {
-    const auto It = OpenRequests.find(W.Adapter);
+  for (const NeededLoad &L : Needed) {
+    const auto It = OpenRequests.find(L.Adapter);
     const bool UpToDate = It != OpenRequests.end() &&
-                          It->second.Priority == W.Priority &&
-                          It->second.Escalated == W.Escalated &&
+                          It->second.Priority == L.Priority &&
+                          It->second.Escalated == L.Escalated &&
                           Now - It->second.Sent < Limits.renewEvery();
     const bool Pending = It != OpenRequests.end() && !It->second.Answered;
     if (UpToDate || Pending)
       continue;
-    OpenRequests[W.Adapter] = {Target, Now, W.Priority, W.Escalated, false};
-    Out.push_back({Target, W});
+    OpenRequests[L.Adapter] = {Target, Now, L.Priority, L.Escalated, false};
+    Out.push_back({Target, L});
   }
   return Out;
 }
--- a/placement/load_planner.h
+++ b/placement/load_planner.h
@@ -37,7 +37,7 @@
   bool Escalated = false;
 };
 
-/// A request for a permit, to be sent to a broker.
+/// A load request, to be sent to a broker.
 struct BrokerRequest {
   std::string Broker;
   NeededLoad Load;
@@ -80,17 +80,17 @@
   /// \p Brokers are the sides that may be the broker, in order of preference.
   LoadPlanner(Options O, std::vector<std::string> Brokers);
 
-  /// Compares the loads needed now with the open permit requests. Returns the
+  /// Compares the loads needed now with the open load requests. Returns the
   /// requests to send: new ones, changed ones and renewals.
   std::vector<BrokerRequest> plan(Time Now, std::span<const NeededLoad> Needed);
-  /// A broker answered a permit request. Returns true if the adapter may be
+  /// A broker answered a load request. Returns true if the adapter may be
   /// loaded now.
   bool onAnswer(Time Now, const std::string &Broker, uint64_t Adapter,
                 bool Granted);
   /// Takes one load from the static share. Returns true if it may be started;
   /// always false while a broker answers.
   bool takeFromStaticShare(Time Now);
-  /// The broker that permit requests are sent to now; empty if none answers.
+  /// The broker that load requests are sent to now; empty if none answers.
   std::string broker(Time Now) const;
   const std::vector<std::string> &brokers() const { return Brokers; }
 
@@ -108,7 +108,7 @@
   std::vector<std::string> Brokers;
   // End of the backoff of each broker that did not answer.
   std::unordered_map<std::string, Time> BackoffUntil;
-  // Permit requests without a grant, by adapter.
+  // Load requests without a grant, by adapter.
   std::unordered_map<uint64_t, OpenRequest> OpenRequests;
   TokenBucket StaticShare;
 };
