--- a/catalog/catalog.cc
+++ b/catalog/catalog.cc
@@ -1,8 +1,8 @@
-// The revision of the last change is kept for each upstream, so that an
-// outdated list or a late event cannot undo a newer change. This includes
-// removed upstreams. Since every start of an upstream has a new id, the
-// revisions of removed upstreams are dropped when the table exceeds
-// MaxRevisions entries. A route look-up scans the routes of one host only.
+// The revision of the last update is kept for each upstream, removed ones
+// included, so that an outdated list or a late event cannot undo a newer
+// update. Every start of an upstream has a new id, so this table would grow
+// without bound: when it exceeds MaxRevisions entries, the revisions of removed
+// upstreams are dropped. A route look-up scans the routes of one host only.
 #include "catalog/catalog.h"
 
 #include <algorithm>
