--- a/forward/forwarder.cc
+++ b/forward/forwarder.cc
@@ -22,7 +22,7 @@
 constexpr uint64_t AdmissionIdStartMask = 0x3fffffff;
 // Retry-After time while no configuration is known or too many calls are in
 // progress.
-constexpr Duration UnknownRetryAfter = std::chrono::milliseconds(500);
+constexpr Duration RejectionRetryAfter = std::chrono::milliseconds(500);
 // Minimum time between prefetch requests for an adapter to the same engine.
 constexpr Duration PrefetchInterval = std::chrono::seconds(1);
 // When the times of this many prefetch requests are stored, all are dropped.
@@ -142,7 +142,7 @@
 
 void Forwarder::onCall(Time Now, uint64_t Id, IncomingCall Request) {
   if (!hasConfig())
-    return rejectNewCall(Id, Request, 503, UnknownRetryAfter,
+    return rejectNewCall(Id, Request, 503, RejectionRetryAfter,
                          EndReason::NoConfig);
   const std::string_view Path =
       std::string_view(Request.Target).substr(0, Request.Target.find('?'));
@@ -152,7 +152,7 @@
   if (Request.RequestId.empty())
     return rejectNewCall(Id, Request, 400, Duration(0), EndReason::BadRequest);
   if (Calls.size() >= Opts.maxCalls())
-    return rejectNewCall(Id, Request, 503, UnknownRetryAfter,
+    return rejectNewCall(Id, Request, 503, RejectionRetryAfter,
                          EndReason::TooMany);
   ActiveCall Call;
   Call.Id = Id;
