--- a/forward/forwarder.cc
+++ b/forward/forwarder.cc
@@ -20,11 +20,12 @@
 
 // Keeps admission ids short on the wire.
 constexpr uint64_t AdmissionIdStartMask = 0x3fffffff;
-// Sent while no configuration is known or too many calls are in progress.
-constexpr Duration UnknownRetryAfter = std::chrono::milliseconds(500);
+// Retry-After time while no configuration is known or too many calls are in
+// progress.
+constexpr Duration RejectionRetryAfter = std::chrono::milliseconds(500);
 // Minimum time between prefetch requests for an adapter to the same engine.
 constexpr Duration PrefetchInterval = std::chrono::seconds(1);
-// The times of past prefetch requests are cleared at this number.
+// When the times of this many prefetch requests are stored, all are dropped.
 constexpr size_t MaxPrefetchRecords = 16384;
 // Queued calls per plain service.
 constexpr size_t MaxQueuedCalls = 256;
@@ -72,7 +73,7 @@
       ReadyUpstreams[U.Service].push_back(&U);
   Engines.retain(CurrentCatalog->upstreams());
   Balancer.retain(CurrentCatalog->upstreams());
-  // Calls without admission yet at a draining or removed upstream are placed
+  // Calls that wait for admission at a draining or removed upstream are placed
   // again.
   std::vector<uint64_t> ToMove;
   for (const auto &[Id, Call] : Calls)
@@ -141,7 +142,7 @@
 
 void Forwarder::onCall(Time Now, uint64_t Id, IncomingCall Request) {
   if (!hasConfig())
-    return rejectNewCall(Id, Request, 503, UnknownRetryAfter,
+    return rejectNewCall(Id, Request, 503, RejectionRetryAfter,
                          EndReason::NoConfig);
   const std::string_view Path =
       std::string_view(Request.Target).substr(0, Request.Target.find('?'));
@@ -151,7 +152,7 @@
   if (Request.RequestId.empty())
     return rejectNewCall(Id, Request, 400, Duration(0), EndReason::BadRequest);
   if (Calls.size() >= Opts.maxCalls())
-    return rejectNewCall(Id, Request, 503, UnknownRetryAfter,
+    return rejectNewCall(Id, Request, 503, RejectionRetryAfter,
                          EndReason::TooMany);
   ActiveCall Call;
   Call.Id = Id;
--- a/forward/testing/forwarder_test.cc
+++ b/forward/testing/forwarder_test.cc
@@ -74,12 +74,13 @@
     AdmissionRequest Request;
   };
 
-  void requestAdmission(const UpstreamRecord &Of,
-                        const AdmissionRequest &A) override {
-    Admissions.push_back({Of.Id, A});
+  void requestAdmission(const UpstreamRecord &Engine,
+                        const AdmissionRequest &Request) override {
+    Admissions.push_back({Engine.Id, Request});
   }
-  void endAdmission(const UpstreamRecord &, uint64_t AskId, Duration) override {
-    EndedAdmissions.insert(AskId);
+  void endAdmission(const UpstreamRecord &, uint64_t AdmissionId,
+                    Duration) override {
+    EndedAdmissions.insert(AdmissionId);
   }
   void onSideTimeout(const UpstreamRecord &) override { ++SilentSides; }
   void send(SendId S, const IncomingCall &, const SendOptions &T) override {
