--- a/side/attempt_log.h
+++ b/side/attempt_log.h
@@ -1,7 +1,7 @@
 // Records the events that a side sent for each attempt, so that an entry can
 // request them again after its connection stopped responding. It also records
-// the ids of attempts that were denied, so that a delayed message of such an
-// attempt does not start it.
+// the ids of attempts that were denied, so that such an attempt does not
+// start if its message arrives late.
 //
 //   AttemptLog Log(AttemptLog::Options());
 //   Log.open(Id, Peer);
@@ -66,8 +66,9 @@
   /// Starts a record. Precondition: none exists for this id.
   void open(const std::string &Id, std::string Peer);
   /// Sets the attempt id and the sequence number of \p Event and stores a copy.
-  /// If the record then exceeded maxBytesEach(), all its stored events are
-  /// dropped instead. Precondition: the record is open.
+  /// An event with which the record would exceed maxBytesEach() is not stored,
+  /// and the events stored so far are dropped. Precondition: the record is
+  /// open.
   void append(const std::string &Id, wire::AttemptEvent &Event);
   /// Closes a record, which is deleted after keepClosed(). Precondition: the
   /// record is open.
--- a/side/side_loads.cc
+++ b/side/side_loads.cc
@@ -14,13 +14,13 @@
 constexpr double LoadWaitSmoothing = 0.2;
 constexpr size_t MinSlotsForReserve = 4;
 // A load request is escalated once an attempt has waited for this share of its
-// time target. Until then more urgent loads go first, and more attempts can
-// join the same load.
+// time to the target; for the most urgent rank it is escalated at once. Until
+// then more urgent loads go first, and more attempts can join the same load.
 constexpr double EscalationShare = 0.25;
 } // namespace
 
 std::vector<NeededLoad>
-SideStateMachine::loadWants(const CurrentTime &Now) const {
+SideStateMachine::neededLoads(const CurrentTime &Now) const {
   std::map<uint64_t, NeededLoad> BySlot;
   for (size_t Rank = 0; Rank < Queue->ranks(); ++Rank)
     for (const WaitingAttempt &Item : Queue->waiting(Rank)) {
@@ -28,20 +28,20 @@
         continue;
       const ActiveAttempt &Attempt = ActiveAttempts.at(Item.AttemptId);
       const auto [It, New] = BySlot.try_emplace(Item.Slot);
-      NeededLoad &Want = It->second;
+      NeededLoad &Load = It->second;
       if (New)
-        Want = {Item.Slot, Attempt.SlotKey, Rank, 0, 0, false};
-      Want.Rank = std::min(Want.Rank, Rank);
-      Want.Priority += Config->ranks()[Attempt.Rank].Worth;
-      ++Want.Waiting;
+        Load = {Item.Slot, Attempt.SlotKey, Rank, 0, 0, false};
+      Load.Rank = std::min(Load.Rank, Rank);
+      Load.Priority += Config->ranks()[Attempt.Rank].Worth;
+      ++Load.Waiting;
       const double Waited = seconds(Now.Steady - Item.Arrived);
-      Want.Escalated |=
+      Load.Escalated |=
           Rank == 0 ||
           Waited > EscalationShare * seconds(Attempt.Target - Attempt.Arrived);
     }
   std::vector<NeededLoad> Out;
-  for (auto &[Slot, Want] : BySlot)
-    Out.push_back(std::move(Want));
+  for (auto &[Slot, Load] : BySlot)
+    Out.push_back(std::move(Load));
   std::stable_sort(Out.begin(), Out.end(),
                    [](const NeededLoad &A, const NeededLoad &B) {
                      if (A.Rank != B.Rank)
@@ -59,20 +59,20 @@
   return std::min<size_t>(Rank, 2);
 }
 
-bool SideStateMachine::beginLoad(const CurrentTime &Now, const NeededLoad &Want,
+bool SideStateMachine::beginLoad(const CurrentTime &Now, const NeededLoad &Load,
                                  Actions &Out) {
-  const auto Slot = Slots->victim(Now.Steady, Demand, slotReserve(Want.Rank));
-  if (!Slot || Slots->find(Want.Adapter))
+  const auto Slot = Slots->victim(Now.Steady, Demand, slotReserve(Load.Rank));
+  if (!Slot || Slots->find(Load.Adapter))
     return false;
   const std::string Evicted = Slots->slots()[*Slot].Key;
-  Slots->beginLoad(*Slot, Want.Key, Want.Adapter);
-  LoadStarted[Want.Adapter] = Now.Steady;
+  Slots->beginLoad(*Slot, Load.Key, Load.Adapter);
+  LoadStarted[Load.Adapter] = Now.Steady;
   ++Counters.Loads;
-  Out.emplace_back(LoadAdapter{*Slot, Want.Key});
+  Out.emplace_back(LoadAdapter{*Slot, Load.Key});
   log(LineClass::Routine,
-      "load adapter=" + Want.Key + " slot=" + std::to_string(*Slot) +
+      "load adapter=" + Load.Key + " slot=" + std::to_string(*Slot) +
           " evicted=" + (Evicted.empty() ? "-" : Evicted) +
-          " waiting=" + std::to_string(Want.Waiting),
+          " waiting=" + std::to_string(Load.Waiting),
       Out);
   return true;
 }
@@ -80,17 +80,17 @@
 void SideStateMachine::planLoads(const CurrentTime &Now, Actions &Out) {
   if (Down || Self.Kind != UpstreamKind::Engine)
     return;
-  std::vector<NeededLoad> Wants = loadWants(Now);
+  std::vector<NeededLoad> Loads = neededLoads(Now);
   if (!Opts.brokeredLoads()) {
-    for (const NeededLoad &Want : Wants)
-      beginLoad(Now, Want, Out);
+    for (const NeededLoad &Load : Loads)
+      beginLoad(Now, Load, Out);
     return;
   }
   // Permits are requested only for loads that a slot can be found for.
-  std::erase_if(Wants, [&](const NeededLoad &Want) {
-    return !Slots->victim(Now.Steady, Demand, slotReserve(Want.Rank));
+  std::erase_if(Loads, [&](const NeededLoad &Load) {
+    return !Slots->victim(Now.Steady, Demand, slotReserve(Load.Rank));
   });
-  for (const BrokerRequest &Request : Planner->plan(Now.Steady, Wants)) {
+  for (const BrokerRequest &Request : Planner->plan(Now.Steady, Loads)) {
     SendToSide Action{Request.Broker, envelope()};
     wire::LoadPermitRequest &Message = *Action.Message.mutable_permit_request();
     Message.set_side(Upstream);
@@ -101,8 +101,8 @@
     Message.set_pressed(Request.Load.Escalated);
     Out.emplace_back(std::move(Action));
   }
-  if (!Wants.empty() && Planner->takeFromStaticShare(Now.Steady))
-    beginLoad(Now, Wants.front(), Out);
+  if (!Loads.empty() && Planner->takeFromStaticShare(Now.Steady))
+    beginLoad(Now, Loads.front(), Out);
 }
 
 void SideStateMachine::onLoadDone(const CurrentTime &Now, size_t Slot,
@@ -181,13 +181,13 @@
                                      const std::string &Peer,
                                      const wire::LoadPermitGrant &Grant,
                                      Actions &Out) {
-  const bool Wanted =
+  const bool MayLoad =
       Planner->onAnswer(Now.Steady, Peer, Grant.adapter(), Grant.granted());
   if (!Grant.granted())
     return;
-  if (Wanted)
-    for (const NeededLoad &Want : loadWants(Now))
-      if (Want.Adapter == Grant.adapter() && beginLoad(Now, Want, Out)) {
+  if (MayLoad)
+    for (const NeededLoad &Load : neededLoads(Now))
+      if (Load.Adapter == Grant.adapter() && beginLoad(Now, Load, Out)) {
         LoadPermits[Grant.adapter()] = Peer;
         return;
       }
--- a/side/side_machine.cc
+++ b/side/side_machine.cc
@@ -5,8 +5,9 @@
 // this time it is either in Queue, while it waits, or in Runs, while the
 // upstream runs it. All memory is bounded: waiting attempts by Queue, running
 // attempts by the declared concurrency of the upstream, stored events by
-// AttemptLog, and keys by KeyLedger. Each command costs at most a scan of the
-// waiting attempts.
+// AttemptLog, and keys by KeyLedger. A command costs a few scans of the
+// waiting and running attempts, one more scan for each attempt that it starts,
+// and the planning of loads, whose cost is stated in side_loads.cc.
 #include "side/side_machine.h"
 
 #include <algorithm>
@@ -24,8 +25,8 @@
 // Expected output length of a request that sets no max_tokens.
 constexpr uint32_t DefaultOutputTokens = 128;
 constexpr uint64_t RetryAfterUs = 500000;
-// Target of all attempts when ranks are off: equal, and too far ahead to affect
-// the order.
+// Time to the target of each attempt when ranks are off. It is the same for
+// all, so that ordering by target is ordering by arrival.
 constexpr Duration UnrankedTarget = std::chrono::hours(1);
 
 std::vector<double> rankShares(const Declarations &Config) {
@@ -347,8 +348,8 @@
   return Attempt;
 }
 
-// If ranks are off, all items have rank 0 and equal targets, so the queue
-// starts them in order of arrival.
+// If ranks are off, all items have rank 0 and the same time to their target, so
+// the queue starts the attempts of an application in order of arrival.
 WaitingAttempt
 SideStateMachine::waitingItem(const CurrentTime &Now,
                               const ActiveAttempt &Attempt) const {
@@ -369,6 +370,8 @@
 void SideStateMachine::onAttempt(const CurrentTime &Now,
                                  const std::string &Peer,
                                  const wire::Attempt &Request, Actions &Out) {
+  // A repeated message, or one that arrives after its attempt was denied, only
+  // causes the recorded events to be sent again.
   if (Log.find(Request.attempt_id())) {
     wire::Resume Resume;
     Resume.set_attempt_id(Request.attempt_id());
@@ -440,8 +443,8 @@
   const std::string &Id = Cancel.attempt_id();
   const auto It = ActiveAttempts.find(Id);
   if (It == ActiveAttempts.end()) {
-    // The attempt may still be in transit. Its id is recorded so that it is
-    // denied when it arrives.
+    // The attempt may still be in transit. Its id is recorded so that it does
+    // not start when it arrives.
     if (!Log.find(Id)) {
       Log.open(Id, {});
       Log.close(Now.Steady, Id);
@@ -491,6 +494,7 @@
   Answer.set_loading(Slot && !Slots->ready(Hash));
   Answer.set_wait_us(
       static_cast<uint64_t>(expectedWait(Rank.value_or(0), Hash).count()));
+  // If no slot can be replaced, the value is infinite and is sent as 1e9.
   const double VictimValue = Slots->victimValue(Now.Steady, Demand);
   Answer.set_victim_value(std::min(VictimValue, 1e9));
   fillState(*Answer.mutable_state());
--- a/side/side_machine.h
+++ b/side/side_machine.h
@@ -4,10 +4,12 @@
 // does no I/O, starts no threads and reads no clock: each command takes the
 // present time and appends the resulting actions to a list.
 //
-//   SideMachine Machine(SideMachine::Options(), Config, "engine-1",
-//   Incarnation); Actions Out; Machine.onEnvelope(Now, Peer, Message, Out); for
-//   (Action &A : Out)
-//     perform(A);
+//   SideStateMachine Machine(SideStateMachine::Options(), Config, "engine-1",
+//                            Incarnation);
+//   Actions Out;
+//   Machine.onEnvelope(Now, Peer, Message, Out);
+//   for (Action &A : Out)
+//     std::visit(PerformAction, A);
 #ifndef GOLDCRESTLINK_SIDE_SIDE_MACHINE_H
 #define GOLDCRESTLINK_SIDE_SIDE_MACHINE_H
 
@@ -46,7 +48,9 @@
   Silent
 };
 
-/// Result of a health check of the upstream on a new connection.
+/// Result of a health check of the upstream on a new connection. Refused: the
+/// connection was not established or broke. Silent: there was no answer in
+/// time, or one with another status than 200.
 struct UpstreamStatus {
   enum class Kind { Healthy, Refused, Silent } Result = Kind::Healthy;
   /// Per slot of the engine, the "adapter@version" in it; empty if free.
@@ -117,7 +121,7 @@
       return *this;
     }
     /// If on, loads need a permit from a broker; if off, an adapter is loaded
-    /// whenever a slot is free.
+    /// as soon as there is an empty or replaceable slot.
     Options &setBrokeredLoads(bool On) {
       BrokeredLoads = On;
       return *this;
@@ -128,8 +132,8 @@
       EvictByRecency = On;
       return *this;
     }
-    /// If on, attempts are started by rank and share; if off, in order of
-    /// arrival.
+    /// If on, attempts are started by rank and share; if off, the attempts of
+    /// an application are started in order of arrival.
     Options &setShareRanks(bool On) {
       ShareRanks = On;
       return *this;
@@ -249,7 +253,8 @@
     std::string ContentType;
     std::string Body;
     bool HeadSent = false;
-    // The connection broke. The check of the upstream decides the outcome.
+    // The connection broke, or the call was cancelled because its stream
+    // stalled. The check of the upstream decides the outcome.
     bool Broken = false;
     // The caller has been answered; the call continues because its key needs
     // the result.
@@ -309,9 +314,9 @@
   void importEngineSlots(const UpstreamStatus &Status);
 
   // Loads.
-  std::vector<NeededLoad> loadWants(const CurrentTime &Now) const;
+  std::vector<NeededLoad> neededLoads(const CurrentTime &Now) const;
   void planLoads(const CurrentTime &Now, Actions &Out);
-  bool beginLoad(const CurrentTime &Now, const NeededLoad &Want, Actions &Out);
+  bool beginLoad(const CurrentTime &Now, const NeededLoad &Load, Actions &Out);
   size_t slotReserve(size_t Rank) const;
   void onPermitRequest(const CurrentTime &Now, const std::string &Peer,
                        const wire::LoadPermitRequest &Request, Actions &Out);
@@ -358,9 +363,10 @@
   // For each claimed key, the id of the attempt that runs under it.
   std::unordered_map<std::string, std::string> AttemptByKey;
   std::unordered_map<uint32_t, std::string> ShardOwners;
-  // Per side, the identity of the peer that sent its last load request.
+  // For each side, the peer identity with which it sent its last load request.
   std::unordered_map<std::string, std::string> PermitPeers;
-  // Per adapter that is being loaded, the broker that granted the permit.
+  // For each adapter that is being loaded with a permit, the broker that
+  // granted it.
   std::unordered_map<uint64_t, std::string> LoadPermits;
   std::unordered_map<uint64_t, Time> LoadStarted;
   // Number of running attempts that must run alone.
--- a/side/side_runs.cc
+++ b/side/side_runs.cc
@@ -1,8 +1,9 @@
 // Starts runs at the upstream, handles their data and ends them. When the
-// connection of a run breaks, the upstream is first checked on a new
+// connection of a run breaks at an engine, the engine is first checked on a new
 // connection. If it refuses the connection or has lost its adapters, it
-// crashed, and all running requests become suspect. If it is healthy, only that
-// run failed.
+// crashed, and all running requests become suspect. Otherwise only the runs
+// whose connections broke have failed. A stalled stream is handled like a
+// broken connection.
 #include <algorithm>
 #include <cassert>
 
@@ -34,6 +35,8 @@
     return false;
   if (IsolatedRunning > 0)
     return false;
+  // If the upstream has enough sequences, an attempt leaves one free for each
+  // more urgent rank.
   const bool Reserving =
       Opts.shareRanks() && Self.MaxSequences >= MinSequencesForReserve;
   const int64_t Reserve = Reserving ? static_cast<int64_t>(Item.Rank) : 0;
