--- a/delivery/answer_check.h
+++ b/delivery/answer_check.h
@@ -35,7 +35,7 @@
   size_t events() const { return Events; }
 
 private:
-  bool partMatches(std::string_view Json) const;
+  bool partMatches(std::string_view Text) const;
   bool checkEvent(std::string_view Event);
 
   std::string Model;
--- a/delivery/key_ledger.cc
+++ b/delivery/key_ledger.cc
@@ -1,6 +1,6 @@
 // Keys are stored in a hash map and indexed by issue time, so that the cost of
 // expiry depends only on the number of keys removed. Expiry deletes a key only
-// when it is so old that claim() refuses it by its issue time alone, so it
+// when it is so old that claim() refuses it by its issue time alone, so expiry
 // never allows a second run. The number of keys is bounded; a full ledger
 // refuses new keys before they run.
 #include "delivery/key_ledger.h"
@@ -55,21 +55,21 @@
   return LatestWallMs;
 }
 
-KeyDecision KeyLedger::decideKnownKey(Record &Entry,
+KeyDecision KeyLedger::decideKnownKey(Record &Known,
                                       const KeyedCall &Call) const {
-  if (Entry.Fingerprint != Call.Fingerprint || Entry.IssuedMs != Call.IssuedMs)
+  if (Known.Fingerprint != Call.Fingerprint || Known.IssuedMs != Call.IssuedMs)
     return refuse(Code::KeyMismatch, Outcome::None);
-  if (Entry.Status == State::Refused) {
-    if (Call.ReceivedMs <= Entry.RefusedMs + millis(Limits.clockSkew()))
+  if (Known.Status == State::Refused) {
+    if (Call.ReceivedMs <= Known.RefusedMs + millis(Limits.clockSkew()))
       return refuse(Code::Overloaded, Outcome::NotRun);
-    Entry.Status = State::Claimed;
+    Known.Status = State::Claimed;
     return {KeyVerdict::Run, Code::None, Outcome::None, nullptr};
   }
-  if (Entry.Status == State::Claimed)
+  if (Known.Status == State::Claimed)
     return {KeyVerdict::Join, Code::None, Outcome::None, nullptr};
-  if (Entry.Status == State::Lost)
+  if (Known.Status == State::Lost)
     return refuse(Code::Interrupted, Outcome::Unknown);
-  return {KeyVerdict::Replay, Code::None, Outcome::Ran, &Entry.Answer};
+  return {KeyVerdict::Replay, Code::None, Outcome::Ran, &Known.Answer};
 }
 
 KeyDecision KeyLedger::claim(const CurrentTime &Now, const KeyedCall &Call) {
--- a/delivery/key_ledger.h
+++ b/delivery/key_ledger.h
@@ -14,8 +14,9 @@
 // A key runs at most once, also when its shard changes owner. An owner runs a
 // key that it does not know only if the key was issued later than the time at
 // which it took the shard plus twice the clock skew. The earlier owner stopped
-// before that time and refuses keys issued in its future, so it cannot have run
-// such a key.
+// before the shard was taken, its clock was ahead by at most the clock skew,
+// and it refuses keys issued more than the clock skew after its present time.
+// So it cannot have run such a key.
 #ifndef GOLDCRESTLINK_DELIVERY_KEY_LEDGER_H
 #define GOLDCRESTLINK_DELIVERY_KEY_LEDGER_H
 
@@ -36,7 +37,8 @@
 /// A call with an idempotency key.
 struct KeyedCall {
   std::string Key;
-  /// When the caller created the key, in Unix milliseconds by its clock.
+  /// When the caller created the key, in Unix milliseconds by its clock. All
+  /// submissions of a key must have the same one.
   int64_t IssuedMs = 0;
   /// When the entry received this submission, in Unix milliseconds by its
   /// clock.
@@ -162,7 +164,7 @@
     int64_t BarrierMs = 0;
     uint64_t FencingNumber = 0;
   };
-  KeyDecision decideKnownKey(Record &Entry, const KeyedCall &Call) const;
+  KeyDecision decideKnownKey(Record &Known, const KeyedCall &Call) const;
   int64_t monotonicWallMs(const CurrentTime &Now);
 
   Options Limits;
--- a/delivery/suspect_table.h
+++ b/delivery/suspect_table.h
@@ -1,7 +1,8 @@
 // Fingerprints of requests that were running when an upstream crashed. After
 // the first crash a fingerprint is suspect and may run again only alone on an
-// engine; after the second it is refused until its quarantine ends. A suspect
-// that finishes is removed; a quarantined fingerprint is not.
+// engine; after the second it is quarantined, that is, refused. Both states end
+// when quarantine() has passed since the last crash. A suspect that finishes is
+// removed earlier; a quarantined fingerprint is not.
 //
 //   SuspectTable Suspects(SuspectTable::Options());
 //   Suspects.noteCrash(Now, CrashId, Fingerprints);
@@ -32,6 +33,7 @@
       MaxEntries = Value;
       return *this;
     }
+    /// How long a fingerprint stays suspect or quarantined after a crash.
     Options &setQuarantine(Duration Value) {
       Quarantine = Value;
       return *this;
