--- a/membership/shard_lease.cc
+++ b/membership/shard_lease.cc
@@ -2,7 +2,8 @@
 // that its version has not changed, so members never overwrite each other's
 // changes. The cost of a renewal is linear in the number of members and shards.
 // A member is removed when its renewal count has not changed for the length of
-// a lease plus the margin, by this side's steady clock.
+// a lease plus the margin, by this side's steady clock, or when the platform
+// has listed it as gone for goneMargin().
 #include "membership/shard_lease.h"
 
 #include <algorithm>
@@ -14,7 +15,8 @@
 // For this long after the start, every declared side counts as a member, so
 // that the first sides to start do not take the shards of the others.
 constexpr Duration StartupPeriod = std::chrono::seconds(3);
-// While some shards have no owner, the table is read and written this often.
+// While some shards have no owner, the table is read and written at least this
+// often.
 constexpr Duration UnsettledInterval = std::chrono::milliseconds(500);
 } // namespace
 
@@ -60,7 +62,7 @@
 }
 
 void ShardLease::plan(Time Now, wire::ShardTable &Table,
-                      ShardChanges &Effects) {
+                      ShardChanges &Changes) {
   if (Started == Time{})
     Started = Now;
   auto &Members = *Table.mutable_members();
@@ -72,17 +74,17 @@
       Members.DeleteSubrange(I, 1);
   }
   if (Releasing) {
-    Effects.EndLease = true;
+    Changes.EndLease = true;
     for (uint32_t Shard : Owned)
-      Effects.Drop.push_back(Shard);
+      Changes.Drop.push_back(Shard);
     Owned.clear();
     return;
   }
   if (!ownMember(Table)) {
     // A new member, or one that others removed after its lease expired.
-    Effects.EndLease = true;
+    Changes.EndLease = true;
     for (uint32_t Shard : Owned)
-      Effects.Drop.push_back(Shard);
+      Changes.Drop.push_back(Shard);
     Owned.clear();
     wire::ShardMember &Member = *Members.Add();
     Member.set_side(Side);
@@ -113,36 +115,36 @@
     const uint32_t Shard = OwnShards[OwnShards.size() - 1].shard();
     OwnShards.RemoveLast();
     if (Owned.erase(Shard))
-      Effects.Drop.push_back(Shard);
+      Changes.Drop.push_back(Shard);
   }
 }
 
 void ShardLease::applyTable(const wire::ShardTable &Table,
-                            ShardChanges &Effects) {
+                            ShardChanges &Changes) {
   std::set<uint32_t> OwnShards;
   for (const wire::ShardMember &Member : Table.members())
     for (const wire::ShardGrant &Grant : Member.shards()) {
-      Effects.Owners[Grant.shard()] = Member.side();
+      Changes.Owners[Grant.shard()] = Member.side();
       if (Member.side() != Side || Member.incarnation() != Incarnation)
         continue;
       OwnShards.insert(Grant.shard());
       if (!Owned.count(Grant.shard()))
-        Effects.Take.push_back({Grant.shard(), Grant.fencing_number()});
+        Changes.Take.push_back({Grant.shard(), Grant.fencing_number()});
     }
   for (uint32_t Shard : Owned)
     if (!OwnShards.count(Shard))
-      Effects.Drop.push_back(Shard);
+      Changes.Drop.push_back(Shard);
   Owned = std::move(OwnShards);
 }
 
 void ShardLease::onWritten(Time SentAt, Time Now, const wire::ShardTable &Table,
-                           ShardChanges &Effects) {
-  applyTable(Table, Effects);
+                           ShardChanges &Changes) {
+  applyTable(Table, Changes);
   if (Releasing) {
     Released = true;
     return;
   }
-  Effects.LeaseUntil = SentAt + Limits.lease();
+  Changes.LeaseUntil = SentAt + Limits.lease();
   size_t Granted = 0;
   for (const wire::ShardMember &Member : Table.members())
     Granted += static_cast<size_t>(Member.shards_size());
--- a/membership/shard_lease.h
+++ b/membership/shard_lease.h
@@ -5,11 +5,13 @@
 // A state machine without I/O; the I/O layer makes one platform call at a time.
 //
 //   ShardLease Lease(ShardLease::Options(), "ledger-1", Incarnation);
-//   if (Lease.due(Now)) {
+//   if (Lease.renewalDue(Now)) {
 //     wire::ShardTable Table = read();
-//     Lease.plan(Now, Table, Effects);
+//     Lease.plan(Now, Table, Changes);
+//     apply(Changes);
+//     const Time SentAt = currentTime().Steady;
 //     if (writeIfUnchanged(Table))
-//       Lease.onWritten(SentAt, Now, Table, Effects);
+//       Lease.onWritten(SentAt, Now, Table, Changes);
 //   }
 //
 // The holder counts its lease from before the write is sent; other members
@@ -96,12 +98,12 @@
   /// A platform call failed; schedules a retry.
   void onFailed(Time Now);
   /// Changes \p Table, as read, to the table that this side has to write.
-  /// Shards that it gives up are added to \p Effects.Drop and must be dropped
+  /// Shards that it gives up are added to \p Changes.Drop and must be dropped
   /// before the write, so that no two sides own a shard at once.
-  void plan(Time Now, wire::ShardTable &Table, ShardChanges &Effects);
+  void plan(Time Now, wire::ShardTable &Table, ShardChanges &Changes);
   /// \p Table was written by a platform call that was sent at \p SentAt.
   void onWritten(Time SentAt, Time Now, const wire::ShardTable &Table,
-                 ShardChanges &Effects);
+                 ShardChanges &Changes);
   /// Makes the next plan() give up all shards and the membership.
   void release();
   /// True once a table without this side was written after release().
@@ -113,10 +115,11 @@
     Time ObservedAt;
   };
 
-  /// True if the member's lease has ended for its holder as well. Called for
-  /// every other member of each table read, because it records renewals.
+  /// True if the member no longer runs, or if its lease has ended for the
+  /// member as well. Called for every other member of each table read, because
+  /// it records renewals.
   bool expired(Time Now, const wire::ShardMember &Member);
-  void applyTable(const wire::ShardTable &Table, ShardChanges &Effects);
+  void applyTable(const wire::ShardTable &Table, ShardChanges &Changes);
   wire::ShardMember *ownMember(wire::ShardTable &Table) const;
   size_t shardQuota(Time Now, const wire::ShardTable &Table) const;
 
