--- a/entry/actions.h
+++ b/entry/actions.h
@@ -80,8 +80,9 @@
   std::string Body;
 };
 
-/// Report a refusal or failure to a caller. If the answer is already streamed,
-/// the error is sent as an event and the stream ends without its end marker.
+/// Report a refusal or failure to a caller. If the streamed answer has already
+/// begun (InStream), the error is sent as an event and the stream ends without
+/// its end marker.
 struct DeliverError {
   std::string RequestId;
   Code Why = Code::None;
--- a/entry/entry_machine.cc
+++ b/entry/entry_machine.cc
@@ -3,9 +3,10 @@
 //
 // A request is in Requests from its arrival until it ends, which it does
 // exactly once. It has at most one open attempt. An attempt that is abandoned
-// before its side answered sets MayHaveRun, so that the caller is told "not
-// run" only when every attempt is known not to have run. Requests are bounded
-// by maxRequests, attempts per request by maxAttempts and the retry budget.
+// before its side answered sets MayHaveRun, so that "not run" is reported to
+// the caller only when every attempt is known not to have run. Requests are
+// bounded by maxRequests. The attempts of a request are bounded by maxAttempts
+// and the retry budget if it is idempotent, else by MaxKeyedAttempts.
 #include "entry/entry_machine.h"
 
 #include <algorithm>
--- a/entry/entry_machine.h
+++ b/entry/entry_machine.h
@@ -3,7 +3,8 @@
 // starts no threads and reads no clock; a process may run several, one per
 // thread.
 //
-//   EntryMachine Machine(EntryMachine::Options(), Declarations, "dc-1", Seed);
+//   EntryStateMachine Machine(EntryStateMachine::Options(), Config, "dc-1",
+//                             Seed);
 //   Actions Out;
 //   Machine.onRequest(Now, std::move(Request), Out);
 //   Machine.onEnvelope(Now, "engine-1", Envelope, Out);
@@ -75,6 +76,8 @@
     const ChoiceStrategy *Strategy = findChoiceStrategy("adaptive");
     // Only EntryMutation switches these off. CountOpenAttempts: the outcome of
     // a request is unknown if an attempt was abandoned or is still open.
+    // HandleSilentSides: a side that sends nothing is probed, and requests are
+    // sent to another side if it is unreachable.
     bool CountOpenAttempts = true;
     bool HandleSilentSides = true;
   };
@@ -92,8 +95,8 @@
   /// Accepts or refuses a caller's request. Every request ends exactly once.
   /// Precondition: no request in progress has the same id.
   void onRequest(const CurrentTime &Now, CallerRequest Request, Actions &Out);
-  /// The caller disconnected. Ends the request; its open attempt is cancelled
-  /// if it is idempotent.
+  /// The caller disconnected. Ends the request; the open attempt of an
+  /// idempotent request is cancelled.
   void onCallerGone(const CurrentTime &Now, const std::string &RequestId,
                     Actions &Out);
   /// Handles a message from the side beside \p Upstream.
@@ -103,7 +106,7 @@
   void onSendFailed(const CurrentTime &Now, const std::string &AttemptId,
                     Actions &Out);
   /// Replaces the sets of upstreams that the platform lists as draining or as
-  /// removed.
+  /// gone.
   void onMembership(const std::set<std::string> &Draining,
                     const std::set<std::string> &Gone);
   /// Ends requests at their deadline, performs due retries and checks for
@@ -267,8 +270,8 @@
   std::set<std::string> ListedGone;
 };
 
-/// Switches off one safeguard, so that a test can show that the safeguard is
-/// needed. For tests only.
+/// Switches off one protection, so that a test can show that it is needed.
+/// For tests only.
 struct EntryMutation {
   static void ignoreOpenAttempts(EntryStateMachine::Options &O) {
     O.CountOpenAttempts = false;
--- a/entry/entry_routing.cc
+++ b/entry/entry_routing.cc
@@ -1,10 +1,11 @@
-// Choice of a side. A completion considers the first few sides in the adapter's
-// rendezvous order: a side that is known to hold the adapter and has free
-// capacity is chosen without probing; otherwise these sides are probed and the
-// one with the lowest expected cost is chosen. Requests that are not idempotent
-// go to the side that owns the shard of their key. The cost of a choice is that
-// of sorting the group's upstreams in the considered cells into rendezvous
-// order.
+// Choice of a side. By default, a completion considers the first few sides in
+// the adapter's rendezvous order: a side that is known to hold the adapter and
+// has free capacity is chosen without probing; otherwise these sides are probed
+// and the one with the lowest expected cost is chosen. Other strategies
+// consider other sides and do not probe; see routing/candidate_choice.h.
+// Requests that are not idempotent go to the side that owns the shard of their
+// key. The cost of a choice is that of sorting the group's upstreams in the
+// considered cells into rendezvous order.
 #include <algorithm>
 #include <cassert>
 
@@ -103,8 +104,9 @@
   }
   if (Strategy.Probes && !ResidentWithCapacity && Eligible.size() > 1)
     return startProbes(Now, Active, Eligible, Out);
-  // Without probes, a wait of one hour makes the strategy prefer the sides that
-  // hold the adapter and have free capacity.
+  // The strategy expects waits from probes, but none were sent. A wait of one
+  // hour makes it prefer the sides that hold the adapter and have free
+  // capacity.
   if (Strategy.Probes)
     for (Candidate &C : Candidates)
       if (!C.Resident || C.Load >= C.MaxSequences)
@@ -114,8 +116,8 @@
        Candidates[Best].Resident ? "resident" : Strategy.Name, Out);
 }
 
-// A suspected request goes to the first side in the rendezvous order of its
-// fingerprint, so that copies of it cannot crash several upstreams at once.
+// A suspect request goes to the first usable side in the rendezvous order of
+// its fingerprint, so that copies of it cannot crash several upstreams at once.
 void EntryStateMachine::routeIsolated(const CurrentTime &Now,
                                       ActiveRequest &Active, Actions &Out) {
   const auto Eligible = candidateUpstreams(Now, Active);
--- a/entry/testing/entry_machine_test.cc
+++ b/entry/testing/entry_machine_test.cc
@@ -1,6 +1,6 @@
-// Tests of the entry's state machine and of its request parser. A fixture takes
-// the part of the sides: it answers probes and sends events of the open
-// attempt. Times are in milliseconds from the start of each test.
+// Tests of the entry's state machine and of its request parser. A fixture
+// simulates the sides: it answers probes and sends events of the last attempt.
+// Times are in milliseconds from the start of each test.
 #include <sstream>
 
 #include <doctest/doctest.h>
@@ -266,7 +266,7 @@
   const char *Code;
   // What the side reports with its refusal.
   wire::Outcome Reported;
-  // What the caller is told when the deadline has passed.
+  // The outcome reported to the caller when the request ends.
   Outcome Known;
 };
 const KeyedRow KeyedRows[] = {
@@ -278,7 +278,7 @@
 } // namespace
 
 TEST_CASE("a keyed request is reported as not run only if the owner of its key "
-          "says so") {
+          "confirms it") {
   for (const KeyedRow &Row : KeyedRows) {
     EntryFixture Entry;
     Entry.order(0, "key");
