--- a/config/config_replica.h
+++ b/config/config_replica.h
@@ -5,7 +5,7 @@
 //   ConfigReplica Replica;
 //   std::vector<std::string> Missing = Replica.offerHead(HeadText);
 //   for (...) Replica.addChunk(Hash, Data);
-//   if (auto Set = Replica.takeReady(Findings)) publish(Set);
+//   if (auto Set = Replica.activatePending(Findings)) publish(Set);
 #ifndef GOLDCRESTLINK_CONFIG_CONFIG_REPLICA_H
 #define GOLDCRESTLINK_CONFIG_CONFIG_REPLICA_H
 
@@ -19,7 +19,9 @@
 
 namespace goldcrestlink {
 
-/// Not thread-safe. Holds the chunks of at most two generations.
+/// Not thread-safe. Holds the chunks of the active generation and those added
+/// for pending ones; each activation deletes the chunks that the new active
+/// generation does not use.
 class ConfigReplica {
 public:
   /// Makes the head pending if it is newer than the active and the pending one
--- a/config/declarations.h
+++ b/config/declarations.h
@@ -80,7 +80,9 @@
   std::string Group;
   std::string Cell;
   std::string DataCenter;
+  /// Address at which the upstream's side listens for entries and other sides.
   http::Endpoint Side;
+  /// Address of the upstream itself.
   http::Endpoint Address;
   /// Engines: adapter versions that can be loaded at the same time.
   int64_t Slots = 8;
@@ -116,7 +118,7 @@
   Duration KeyRetention = std::chrono::minutes(10);
   /// Length of the lease under which a side owns shards.
   Duration Lease = std::chrono::seconds(60);
-  /// How long requests with a quarantined fingerprint are refused.
+  /// How long a fingerprint stays suspect or quarantined after a crash.
   Duration QuarantineDuration = std::chrono::minutes(10);
   int64_t ShardsPerService = 16;
 };
--- a/config/field_reader.h
+++ b/config/field_reader.h
@@ -21,8 +21,8 @@
 enum class Need { Optional, Required };
 
 /// Each reading function reads one key; if the key is missing, \p Out keeps its
-/// value. Not thread-safe. Precondition: file name, section and
-/// findings outlive the reader.
+/// value. Not thread-safe. Precondition: file name, section and findings
+/// outlive the reader.
 class FieldReader {
 public:
   FieldReader(const std::string &File, const IniSection &Section,
--- a/config/settings.h
+++ b/config/settings.h
@@ -71,7 +71,8 @@
   Duration DrainTimeout = std::chrono::minutes(2);
   /// Strategy by which an entry chooses a side; see routing/candidate_choice.h.
   std::string Routing = "adaptive";
-  /// Side: schedule by rank with shares; if false, first in, first out.
+  /// Side: start attempts by rank and share; if false, the attempts of an
+  /// application in order of arrival.
   bool ShareRanks = true;
   /// Side: load only with a permit of the broker; if false, load at once.
   bool BrokeredLoads = true;
