--- a/config/config_replica.h
+++ b/config/config_replica.h
@@ -19,7 +19,9 @@
 
 namespace goldcrestlink {
 
-/// Not thread-safe. Holds the chunks of at most two generations.
+/// Not thread-safe. Holds the chunks of the active generation and those added
+/// for pending ones; each activation deletes the chunks that the new active
+/// generation does not use.
 class ConfigReplica {
 public:
   /// Makes the head pending if it is newer than the active and the pending one
