--- a/http/client.cc
+++ b/http/client.cc
@@ -3,8 +3,8 @@
 // ReadBufferBytes of the response.
 //
 // If a reused connection breaks before the response header, the call is retried
-// once on a new connection, provided that the connection took no byte of the
-// request or that the method is GET.
+// once on a new connection if that connection took no byte of the request, or
+// if the method is GET and CallOptions::repeatReads() is set.
 //
 // The pool holds at most MaxIdlePerEndpoint connections per endpoint and drops
 // them before the peer is expected to close them. Request and response are
@@ -37,7 +37,8 @@
 namespace {
 constexpr size_t MaxIdlePerEndpoint = 64;
 constexpr size_t ReadBufferBytes = 1024 * 1024;
-// Effectively no limit: a call passes the body on in parts and keeps none.
+// Effectively no limit: a call passes each part of the body on and keeps none
+// of them.
 constexpr uint64_t MaxBodyBytes = uint64_t(1) << 50;
 // TCP keep-alive: the first probe is sent after this idle time, further ones at
 // this interval; after this many unanswered probes the connection is closed.
@@ -46,8 +47,9 @@
 constexpr int KeepAliveProbes = 2;
 // A connection whose peer acknowledges nothing for this long is closed.
 constexpr int TcpUserTimeoutMs = 2500;
-// An idle connection is not reused in the last part of the keep-alive timeout
-// that the peer announced, since the peer could close it at that moment.
+// An idle connection is reused only until this long before the end of the
+// keep-alive timeout that the peer announced, or for half of a short timeout,
+// since the peer may close the connection just as a request is sent on it.
 constexpr Duration KeepAliveMargin = std::chrono::milliseconds(700);
 
 void setSocketOptions(Tcp::socket &Socket) {
@@ -90,8 +92,8 @@
     Time UsableUntil;
   };
 
-  // The most recently used idle connection that is still open and has no
-  // unread data. Unusable ones that are newer are closed.
+  // Takes the most recently used idle connection that is still open and has no
+  // unread data. Connections found to be unusable on the way are closed.
   std::optional<Tcp::socket> take(const std::string &Key, Duration MaxAge) {
     auto It = ByEndpoint.find(Key);
     const Time Now = steadyNow();
--- a/http/server.cc
+++ b/http/server.cc
@@ -254,7 +254,8 @@
 
   // Closes the connection if the caller disconnects during the request. A
   // readable socket with no bytes available is at the end of the stream.
-  // Pipelined bytes stay in the kernel until the next readRequest().
+  // Pipelined bytes end the watch and stay in the kernel until the next
+  // readRequest().
   void watchForDisconnect() {
     Stream.socket().async_wait(
         Tcp::socket::wait_read,
@@ -341,8 +342,8 @@
   std::deque<std::string> Unsent;
   size_t UnsentBytes = 0;
   std::function<void()> OnDisconnect;
-  // Number of finished requests; tells a disconnect watch of an earlier
-  // request from the present one.
+  // Number of finished requests; distinguishes the disconnect watch of an
+  // earlier request from that of the current one.
   uint64_t RequestNumber = 0;
   bool KeepAlive = true;
   // A request was read and its response is not yet written.
--- a/http/server.h
+++ b/http/server.h
@@ -57,7 +57,7 @@
     MaxUnsentBytes = Bytes;
     return *this;
   }
-  /// A connection that sends no request for this long is closed.
+  /// A connection on which no request begins for this long is closed.
   ServerOptions &setIdleTimeout(Duration Timeout) {
     IdleTimeout = Timeout;
     return *this;
@@ -98,9 +98,9 @@
   /// Closes the connection once all queued bytes are sent, so that the caller
   /// sees the response as incomplete.
   virtual void abort() = 0;
-  /// Sets a callback that is called at most once: when the connection closes
-  /// before the response is complete. It is posted, never called from within
-  /// another method of this object.
+  /// Sets a callback that is called at most once: when the connection closes,
+  /// also by abort(), before the complete response has been sent. The callback
+  /// is posted, never called from within another method of this object.
   virtual void onGone(std::function<void()> Callback) = 0;
 };
 
--- a/http/testing/http_test.cc
+++ b/http/testing/http_test.cc
@@ -55,12 +55,12 @@
   asio::write(Socket, asio::buffer(Text), Error);
 }
 
-// Result of a call to a peer that writes \p Answer and closes the connection:
-// "status:body", or "broken" if the call fails.
-std::string fetchOutcome(std::string Answer) {
+// Result of a call to a peer that writes \p ResponseText and closes the
+// connection: "status:body", or "broken" if the call fails.
+std::string fetchOutcome(std::string ResponseText) {
   Peer P([&](Tcp::socket &Socket) {
     readHead(Socket);
-    writeText(Socket, Answer);
+    writeText(Socket, ResponseText);
 
     Socket.close();
   });
@@ -80,7 +80,7 @@
 
 TEST_CASE("a call succeeds only if its response is complete") {
   struct Row {
-    const char *Answer;
+    const char *ResponseText;
     const char *Expected;
   };
   const Row Rows[] = {
@@ -97,14 +97,14 @@
       {"", "broken"},
   };
   for (const Row &R : Rows) {
-    CAPTURE(R.Answer);
-    CHECK(fetchOutcome(R.Answer) == R.Expected);
+    CAPTURE(R.ResponseText);
+    CHECK(fetchOutcome(R.ResponseText) == R.Expected);
   }
 }
 
 TEST_CASE("cancelling a call resets its connection") {
   boost::system::error_code Seen;
-  http::Client *Started = nullptr;
+  http::Client *ClientPtr = nullptr;
   asio::io_context Io;
   std::shared_ptr<http::Call> Call;
   {
@@ -115,15 +115,15 @@
       Socket.read_some(asio::buffer(&Byte, 1), Seen);
     });
     http::Client Client(Io);
-    Started = &Client;
+    ClientPtr = &Client;
     http::CallHandlers On;
     On.OnDone = [] { FAIL("OnDone was called after cancel()"); };
     On.OnError = [](http::CallError, const std::string &) {
       FAIL("OnError was called after cancel()");
     };
     auto Guard = asio::make_work_guard(Io);
-    Call = Started->start(P.endpoint(), http::Request(), http::CallOptions(),
-                          std::move(On));
+    Call = ClientPtr->start(P.endpoint(), http::Request(), http::CallOptions(),
+                            std::move(On));
     while (!Seen && Io.run_one_for(std::chrono::seconds(10)) > 0) {
     }
   }
