--- a/wire/socket.h
+++ b/wire/socket.h
@@ -34,8 +34,9 @@
 /// Sets the wire version of \p Message and serialises it. Thread-safe.
 std::string serialiseFrame(Envelope &Message);
 
-/// Server side: many peers, each with an opaque identity, which the handler
-/// gets and send() takes. The handler runs on Io's thread. Not thread-safe.
+/// The listening end: many peers, each with an opaque identity that is passed
+/// to the handler and names the receiver in send(). The handler runs on Io's
+/// thread. Not thread-safe.
 class RouterSocket {
 public:
   using OnMessage = std::function<void(const std::string &Peer, Envelope &)>;
@@ -55,9 +56,9 @@
   std::shared_ptr<State> Shared;
 };
 
-/// Client side: one peer. A message is accepted only while a connection is
-/// established, so a message that send() rejects has not been sent. The handler
-/// runs on Io's thread. Not thread-safe.
+/// The connecting end: one peer. A message is accepted only while a connection
+/// is established, so a message that send() rejects has not been sent. The
+/// handler runs on Io's thread. Not thread-safe.
 class DealerSocket {
 public:
   using OnMessage = std::function<void(Envelope &)>;
