--- a/daemon/cell_status.h
+++ b/daemon/cell_status.h
@@ -26,7 +26,8 @@
   /// Drops expired reports, and writes the status if it has changed. To be
   /// called regularly.
   void step(Time Now);
-  /// JSON, one object per process.
+  /// The status as JSON: the cell's name and a list with one object per
+  /// process.
   std::string text() const;
 
 private:
--- a/daemon/decision_log.h
+++ b/daemon/decision_log.h
@@ -52,7 +52,8 @@
   uint64_t DroppedReported = 0;
   /// Lines per second.
   double Rate;
-  /// Of the token bucket: lines that may be written now.
+  /// Fill level of the token bucket: the number of lines that may be written
+  /// now.
   double Tokens;
   Time RefilledAt{};
 };
--- a/daemon/entry_daemon.cc
+++ b/daemon/entry_daemon.cc
@@ -1,6 +1,8 @@
 // The control thread is the calling thread. Its work is periodic and bounded:
-// one configuration request per PeerPollInterval to one side, and one drain of
-// the log and the metrics per DrainInterval. No caller's request waits for it.
+// per PeerPollInterval one configuration request to one side, or to each peer
+// in the settings until a configuration is known; per DrainInterval one drain
+// of the log and the metrics, and at most one request for a newer
+// configuration. No caller's request waits for this work.
 #include "daemon/entry_daemon.h"
 
 #include <thread>
--- a/daemon/entry_daemon.h
+++ b/daemon/entry_daemon.h
@@ -1,4 +1,5 @@
-// The entry role: traffic threads, and the control thread that maintains their
+// The entry process of a deployment that is declared in the platform's object
+// API: traffic threads, and the control thread that maintains their
 // configuration, membership, log and metrics.
 #ifndef GOLDCRESTLINK_DAEMON_ENTRY_DAEMON_H
 #define GOLDCRESTLINK_DAEMON_ENTRY_DAEMON_H
--- a/daemon/entry_shard.h
+++ b/daemon/entry_shard.h
@@ -29,6 +29,8 @@
 struct EntrySinks {
   std::function<void(LineClass, std::string)> Log;
   std::function<void(entry::RequestRecord)> Record;
+  /// Receives messages about configuration or membership, and messages from a
+  /// side that has a newer configuration.
   std::function<void(const std::string &Peer, const wire::Envelope &)> Control;
   /// Requests the text of the metrics page; the callback may run on any thread.
   std::function<void(std::function<void(std::string)>)> Metrics;
@@ -51,7 +53,7 @@
                      std::set<std::string> Gone);
   /// Sends to a side, by upstream name or "ip:port".
   void send(std::string Peer, wire::Envelope Message);
-  /// Sends to some side of the cell.
+  /// Sends to a random side to which a connection was opened.
   void sendToAny(wire::Envelope Message);
   /// First step of a graceful shutdown: reports not ready, but still serves.
   void announceStop();
--- a/daemon/entry_traffic.cc
+++ b/daemon/entry_traffic.cc
@@ -1,7 +1,7 @@
-// Everything here runs on one thread, so the Forwarder needs no locks. A side
-// is connected to on first use, at the address of its engine, since the two
-// share an instance. Connections to engines that a new catalog does not list
-// are closed.
+// Everything here runs on one thread, so the Forwarder needs no locks. The side
+// of each engine in the catalog is connected to at the engine's address, since
+// the two share an instance. When a new catalog no longer lists an engine, the
+// connection to its side is closed.
 #include "daemon/entry_traffic.h"
 
 #include <atomic>
@@ -127,9 +127,9 @@
 
   void requestAdmission(const UpstreamRecord &Upstream,
                         const AdmissionRequest &Request) override {
-    Side &Engine = sideOf(Upstream);
+    Side &EngineSide = sideOf(Upstream);
     wire::Envelope E = encodeAdmissionRequest(Request);
-    Engine.Connection->sendOrQueue(E);
+    EngineSide.Connection->sendOrQueue(E);
   }
 
   void endAdmission(const UpstreamRecord &Upstream, uint64_t RequestId,
@@ -245,7 +245,7 @@
     Time ResetAt{};
   };
 
-  // Connects to the side if it is not connected.
+  // The side beside \p U; connects to it on first use.
   Side &sideOf(const UpstreamRecord &U) {
     const std::string Address = U.Address.Address + ":" +
                                 std::to_string(ProcessSettings.Fleet.LinkPort);
@@ -259,8 +259,8 @@
     return Found;
   }
 
-  // Requests of other entries that know no configuration yet. All other catalog
-  // messages are exchanged with sides.
+  // Answers the requests of other entries that know no configuration yet. All
+  // other catalog messages are exchanged with sides.
   void onPeerMessage(const std::string &Peer, wire::Envelope &Message) {
     if (!Message.has_belief_request() || !KnownCatalog)
       return;
--- a/daemon/entry_traffic.h
+++ b/daemon/entry_traffic.h
@@ -1,5 +1,6 @@
-// The traffic thread of an entry on the platform: callers' connections, calls
-// to upstreams, messages to sides, and the Forwarder that takes the decisions.
+// The traffic thread of an entry whose deployment is declared in the platform's
+// store: callers' connections, calls to upstreams, messages to sides, and the
+// Forwarder that takes the decisions.
 //
 //   EntryTraffic Traffic(Settings, Seed, Sinks);
 //   std::thread Thread([&] { Traffic.run(); });
@@ -45,7 +46,8 @@
   /// Second step: accepts no new connections and closes idle ones.
   void stopAccepting();
   void stop();
-  /// The number of calls that have not been answered completely.
+  /// The number of calls whose answer is not complete. A call is no longer
+  /// counted once its answer is queued; its last bytes may still be unsent.
   size_t callsInProgress() const;
   /// Passes the metrics page to \p Done, on the traffic thread.
   void metrics(std::function<void(std::string)> Done);
--- a/daemon/fleet_entry.cc
+++ b/daemon/fleet_entry.cc
@@ -73,7 +73,7 @@
   }
 
 private:
-  // The state of the catalog and the store calls that it took.
+  // Metrics of the catalog's state and of the calls to the store.
   std::string catalogMetrics() const {
     const Catalog &Known = Store.catalog();
     size_t Draining = 0;
--- a/daemon/fleet_side.h
+++ b/daemon/fleet_side.h
@@ -8,7 +8,7 @@
 
 /// Serves until SIGTERM or SIGINT, then stops gracefully. Returns the exit
 /// code. Throws if it cannot start. The settings file \p File is reloaded when
-/// it changes. Precondition: \p ProcessSettings.onFleet().
+/// it changes. Precondition: \p ProcessSettings.usesPlatformStore().
 int runFleetSide(const Settings &ProcessSettings, const std::string &File);
 
 } // namespace goldcrestlink
--- a/daemon/forward_metrics.h
+++ b/daemon/forward_metrics.h
@@ -1,5 +1,6 @@
-// Metrics of an entry on the platform: finished calls by rank and outcome, and
-// their latencies. Used on the traffic thread.
+// Metrics of an entry whose deployment is declared in the platform's store:
+// finished calls by rank and outcome, and their latencies. Used on the traffic
+// thread.
 //
 //   ForwardMetrics M;
 //   M.record(Rank, "served", FirstByte, Total);
--- a/daemon/main.cc
+++ b/daemon/main.cc
@@ -1,5 +1,5 @@
 // The daemon: goldcrestlinkd --settings FILE. Exit codes: 0 after a graceful
-// stop, 1 if it could not start or failed, 2 for invalid settings or usage.
+// shutdown, 1 if it could not start or failed, 2 for invalid settings or usage.
 #include <cstdio>
 #include <cstdlib>
 #include <exception>
--- a/daemon/planned_stop.cc
+++ b/daemon/planned_stop.cc
@@ -28,8 +28,8 @@
   });
 }
 
-// \p IdleSince is when a poll first found no call in progress; Time{} if the
-// last poll found one.
+// \p IdleSince is when a poll first found no call in progress; Time{} before
+// the first poll, or if the last poll found one.
 void GracefulShutdown::awaitDrained(Time IdleSince) {
   const Time Now = currentTime().Steady;
   if (On.CallsInProgress() > 0)
--- a/daemon/process_control.h
+++ b/daemon/process_control.h
@@ -1,6 +1,6 @@
-// The tasks that the control threads of entries and sides on the platform
-// share: writing the decision log, serving metrics, handling signals, and
-// reloading the settings file.
+// The tasks that the control threads of entries and sides share if their
+// deployment is declared in the platform's store: writing the decision log,
+// serving metrics, handling signals, and reloading the settings file.
 //
 //   ProcessControl P(Io, Settings, File, {OnStop, OnSettings, OnMetrics});
 //   P.log("store state=lost ...");     // any thread
@@ -26,7 +26,7 @@
   /// The settings file has changed and is valid.
   std::function<void(const Settings &)> OnSettings;
   /// Produces the metrics page and passes it to the given callback, before or
-  /// after returning. The callback is thread-safe.
+  /// after returning. The callback may be called on any thread.
   std::function<void(std::function<void(std::string)>)> OnMetrics;
 };
 
--- a/daemon/side_daemon.cc
+++ b/daemon/side_daemon.cc
@@ -173,7 +173,7 @@
   }
 
   // A revision is the Unix time in milliseconds at which a watcher read the
-  // list; the notice with the latest revision wins.
+  // list of instances; the notice with the latest revision wins.
   void applyMembership(const wire::MembershipNotice &Notice) {
     if (Notice.revision() <= Membership.revision())
       return;
@@ -279,7 +279,7 @@
   }
 
   // Waits until all work is drained, then until the shards are released, then
-  // for StopFlush.
+  // for StopFlush; at StopDeadline the process stops in any case.
   void stepStop(Time Now) {
     const bool Drained = Traffic.summary().Drained;
     if (Drained && ShardLeases && !ReleaseRequested) {
--- a/daemon/side_daemon.h
+++ b/daemon/side_daemon.h
@@ -1,4 +1,5 @@
-// The side role: one traffic thread, and the control thread that maintains its
+// The side process of a deployment that is declared in the platform's object
+// API: one traffic thread, and the control thread that maintains its
 // configuration, leases, membership, log and metrics.
 #ifndef GOLDCRESTLINK_DAEMON_SIDE_DAEMON_H
 #define GOLDCRESTLINK_DAEMON_SIDE_DAEMON_H
--- a/daemon/side_link.h
+++ b/daemon/side_link.h
@@ -25,7 +25,8 @@
   SideConnection(boost::asio::io_context &Io, zmq::context_t &Context,
                  std::string Address, std::string SourceAddress,
                  wire::DealerSocket::OnMessage MessageHandler);
-  /// Sends at once; returns false if the connection is down.
+  /// Sends at once; returns false if the connection is down or ZeroMQ's queue
+  /// is full.
   bool trySend(wire::Envelope &Message);
   /// Sends at once, or queues the message for one of the next flushes. The
   /// oldest queued message is dropped when the queue is full.
--- a/daemon/side_links.h
+++ b/daemon/side_links.h
@@ -30,12 +30,12 @@
   SideConnectionPool(boost::asio::io_context &Io, zmq::context_t &Context,
                      std::string SourceAddress, OnMessage MessageHandler);
   /// Applies new declarations: closes the connections whose name is no longer
-  /// declared or is declared at another address.
+  /// declared or is declared at another address, and those by "ip:port".
   void onConfig(std::shared_ptr<const Declarations> Config);
   /// The connection to \p Peer, opened if necessary; null if \p Peer is neither
   /// declared nor an "ip:port".
   SideConnection *find(const std::string &Peer);
-  /// A random open connection; null if there is none.
+  /// A random connection of those opened so far; null if there is none.
   SideConnection *any(Random &Rand);
   /// Sends the queued messages of all connections. To be called every few
   /// milliseconds.
--- a/daemon/side_traffic.cc
+++ b/daemon/side_traffic.cc
@@ -45,12 +45,12 @@
                }),
         Sides(Io, Context, ProcessSettings.SourceAddress,
               [this](const std::string &Upstream, wire::Envelope &Message) {
-                onLinkMessage(Upstream, Message);
+                onSideMessage(Upstream, Message);
               }) {}
 
   side::UpstreamEvents events();
   void onMessage(const std::string &Peer, wire::Envelope &Message);
-  void onLinkMessage(const std::string &Upstream, wire::Envelope &Message);
+  void onSideMessage(const std::string &Upstream, wire::Envelope &Message);
   void onConfig(std::shared_ptr<const Declarations> Config);
   void applyShards(const ShardChanges &Effects);
   void perform(side::Actions &Out);
@@ -204,7 +204,7 @@
                side::Actions &Out) { M.onEnvelope(N, Peer, Message, Out); });
 }
 
-void SideTraffic::State::onLinkMessage(const std::string &Upstream,
+void SideTraffic::State::onSideMessage(const std::string &Upstream,
                                        wire::Envelope &Message) {
   const bool Newer =
       CurrentConfig && Message.generation() > CurrentConfig->generation();
--- a/daemon/side_traffic.h
+++ b/daemon/side_traffic.h
@@ -27,7 +27,9 @@
 /// thread-safe.
 struct SideSinks {
   std::function<void(LineClass, std::string)> Log;
-  /// A message about configuration or membership. \p Reply answers it.
+  /// Receives messages for the control thread: about configuration or
+  /// membership, reports of processes, and messages from a side that has a
+  /// newer configuration. \p Reply sends an answer to \p Peer.
   std::function<void(const std::string &Peer, const wire::Envelope &,
                      std::function<void(wire::Envelope)> Reply)>
       Control;
@@ -42,7 +44,7 @@
   bool UpstreamDown = false;
   size_t Running = 0;
   size_t Waiting = 0;
-  /// Size of the state machine's ledger.
+  /// Number of idempotency keys in the state machine's ledger.
   size_t Keys = 0;
   uint64_t BadFrames = 0;
   side::SideCounters Counters;
@@ -65,7 +67,7 @@
   void send(std::string Peer, wire::Envelope Message);
   /// Sends to every other side of the cell.
   void sendToCell(wire::Envelope Message);
-  /// Sends to one other side of the cell.
+  /// Sends to a random other side of the cell.
   void sendToAny(wire::Envelope Message);
   /// The state at the last tick of the traffic thread.
   SideSummary summary() const;
--- a/daemon/store_follower.cc
+++ b/daemon/store_follower.cc
@@ -13,8 +13,9 @@
 // the store has ended.
 constexpr Duration AbsenceCheckInterval = std::chrono::milliseconds(200);
 // Pause between watches of upstreams, so that one call reports several changes:
-// upstreams write about once a second, mostly values that are not used here. A
-// draining upstream must be known well within the platform's two seconds.
+// each upstream writes its record about once a second, mostly to change values
+// that are not used here. A draining upstream must be known well within the
+// platform's two seconds.
 constexpr Duration UpstreamWatchPause = std::chrono::milliseconds(600);
 // Mean time between renewals of watches of one kind over all entries. A store
 // that drops its history does not answer open watches, so a change may be seen
--- a/daemon/store_follower.h
+++ b/daemon/store_follower.h
@@ -26,13 +26,14 @@
 
   StoreWatcher(boost::asio::io_context &Io, const http::Endpoint &Store,
                uint64_t Seed, OnChanged NotifyChanged, OnLog Log);
-  /// Starts reading the store, for as long as the object exists.
+  /// Lists and watches the store from now on, as long as the object exists.
   void start();
   /// Applies newer catalog state received from another process.
   void onCatalogUpdate(const CatalogUpdate &Update);
-  /// Number of entries that exchange catalog state, this one included. Each
-  /// renews its watches at intervals proportional to it, so that the total rate
-  /// of renewals does not grow with the number of entries.
+  /// Sets the number of entries that exchange catalog state, this one included.
+  /// Each renews its watches of configurations and releases at intervals
+  /// proportional to this number, so that the total rate of renewals does not
+  /// grow with the number of entries.
   void setEntryCount(size_t Count);
   const Catalog &catalog() const { return KnownCatalog; }
   /// False while the store cannot be reached.
