--- a/testing/fleet.cc
+++ b/testing/fleet.cc
@@ -42,7 +42,7 @@
   plan();
 }
 
-ManagedProcess TestDeployment::makeMember(const std::string &Name) {
+ManagedProcess TestDeployment::makeProcess(const std::string &Name) {
   ManagedProcess M;
   M.Name = Name;
   M.Http = freeEndpoint();
@@ -52,10 +52,10 @@
 }
 
 void TestDeployment::plan() {
-  Platform = makeMember("platform");
+  Platform = makeProcess("platform");
   Platform.Command = {Programs + "/standin_platform", "--listen",
                       Platform.Http.text()};
-  Store = makeMember("store");
+  Store = makeProcess("store");
   Store.Command = {Programs + "/standin_store",
                    "--listen",
                    Store.Http.text(),
@@ -66,7 +66,7 @@
                    "--in-flight",
                    std::to_string(Shape.StoreInFlight)};
   for (size_t I = 0; I < Shape.Engines; ++I) {
-    ManagedProcess M = makeMember("engine-" + std::to_string(I + 1));
+    ManagedProcess M = makeProcess("engine-" + std::to_string(I + 1));
     M.Command = {Programs + "/standin_engine",
                  "--listen",
                  M.Http.text(),
@@ -91,7 +91,7 @@
     Engines.push_back(std::move(M));
   }
   for (size_t I = 0; I < Shape.Services; ++I) {
-    ManagedProcess M = makeMember("ledger-" + std::to_string(I + 1));
+    ManagedProcess M = makeProcess("ledger-" + std::to_string(I + 1));
     M.Command = {Programs + "/standin_service", "--listen", M.Http.text()};
     if (Shape.ServicesCheckFencing)
       M.Command.push_back("--checks-fencing");
@@ -101,7 +101,7 @@
   planSides(EngineSides, Engines, "side-");
   planSides(ServiceSides, Services, "side-");
   for (size_t I = 0; I < Shape.Entries; ++I) {
-    ManagedProcess M = makeMember("entry-" + std::to_string(I + 1));
+    ManagedProcess M = makeProcess("entry-" + std::to_string(I + 1));
     M.Command = {Programs + "/goldcrestlinkd", "--settings",
                  Work + "/" + M.Name + ".ini"};
     Entries.push_back(std::move(M));
@@ -115,7 +115,7 @@
   }
   if (!Shape.Relay)
     return;
-  Relay = makeMember("relay");
+  Relay = makeProcess("relay");
   Relay.Command = {Programs + "/standin_relay", "--admin", Relay.Admin.text()};
   for (auto *Sides : {&EngineSides, &ServiceSides})
     for (ManagedProcess &M : *Sides) {
@@ -128,7 +128,7 @@
                                const std::vector<ManagedProcess> &Upstreams,
                                const char *Prefix) {
   for (const ManagedProcess &Upstream : Upstreams) {
-    ManagedProcess M = makeMember(Prefix + Upstream.Name);
+    ManagedProcess M = makeProcess(Prefix + Upstream.Name);
     M.Command = {Programs + "/goldcrestlinkd", "--settings",
                  Work + "/" + M.Name + ".ini"};
     // With a relay, the declared address belongs to the relay, and the side
@@ -154,7 +154,8 @@
       "\nlisten = " + Target.Http.text() +
       "\ntraffic_threads = " + std::to_string(Shape.TrafficThreads) + "\n";
   Text += "[platform]\nendpoints = " + Platform.Http.text() + "\n";
-  // A line of the settings file has room for about six addresses.
+  // The settings parser limits the length of a line; about six addresses fit
+  // into one.
   if (!Peers.empty())
     Text += "peers =" + Peers.substr(0, Peers.find(' ', 120)) + "\n";
   if (!Shape.Strategy.empty())
@@ -266,7 +267,8 @@
       launch(M);
   Started =
       Started && eventually([&] { return allHaveGeneration(1); }, StartSeconds);
-  // All shards of the service's keys have an owner.
+  // The route is idempotent, so this does not wait until the shards of
+  // idempotency keys have owners.
   const auto Served = [&] {
     http::Request R;
     R.Target = "/records/start";
--- a/testing/fleet.h
+++ b/testing/fleet.h
@@ -2,9 +2,10 @@
 // platform, weight store, engines and plain services are stand-ins; sides and
 // entries are the daemon. The command-line tool applies the declarations.
 //
-//   Fleet F(FleetShape{.Engines = 4}, "build", "/tmp/run");
-//   F.start();
-//   http::Endpoint E = F.entry(0);
+//   TestDeployment Deployment(DeploymentOptions{.Engines = 4}, "build",
+//                             "/tmp/run");
+//   Deployment.start();
+//   http::Endpoint Entry = Deployment.Entries[0].Http;
 #ifndef GOLDCRESTLINK_TESTING_FLEET_H
 #define GOLDCRESTLINK_TESTING_FLEET_H
 
@@ -38,6 +39,7 @@
   /// Loads per second of the weight store.
   double StoreRate = 7;
   size_t StoreBurst = 2;
+  /// Loads in flight beyond which the weight store slows down.
   size_t StoreInFlight = 16;
   /// Whether engines load adapters from the weight store.
   bool UseStore = true;
@@ -58,8 +60,9 @@
   std::vector<std::string> Command;
   std::unique_ptr<Process> Child;
   http::Endpoint Http;
-  /// For a stand-in: the address for admin requests. For a side behind a relay:
-  /// the address on which it listens for the relay.
+  /// For an engine, a service or the relay: the address for admin requests; the
+  /// platform accepts them at Http. For a side behind a relay: the address on
+  /// which it listens for the relay.
   http::Endpoint Admin;
   /// For a side: the declared address, to which entries connect.
   http::Endpoint Wire;
@@ -99,8 +102,9 @@
   std::string admin(const http::Endpoint &To, const std::string &Target,
                     const std::string &Method = "POST",
                     const std::string &Body = {});
-  /// Sends SIGTERM to all entries and then to all sides, and waits for them to
-  /// exit. True if every exit code is 0.
+  /// Sends SIGTERM to all entries, then to the sides of engines, then to the
+  /// sides of services, and waits for each group to exit before the next one.
+  /// True if every exit code is 0.
   bool stopGracefully();
 
   DeploymentOptions Shape;
@@ -119,7 +123,7 @@
   void planSides(std::vector<ManagedProcess> &Sides,
                  const std::vector<ManagedProcess> &Upstreams,
                  const char *Prefix);
-  ManagedProcess makeMember(const std::string &Name);
+  ManagedProcess makeProcess(const std::string &Name);
   std::string settingsText(const ManagedProcess &Target,
                            const std::string &Role) const;
   void writeFile(const std::string &Path, const std::string &Text) const;
--- a/testing/platform_process_test.cc
+++ b/testing/platform_process_test.cc
@@ -211,8 +211,7 @@
   for (const size_t Entry : {0, 1})
     CHECK(System.eventuallyServed(Entry, "/extra/x"));
 
-  // A watch that is open when the store drops its log of changes is not
-  // notified of that.
+  // The store does not notify open watches when it drops its log of changes.
   System.Platform.dropHistory();
   System.Platform.putConfig(3, false);
   for (const size_t Entry : {0, 1})
--- a/testing/platform_standin.h
+++ b/testing/platform_standin.h
@@ -62,8 +62,8 @@
   /// Does nothing if the upstream is not running.
   void crash(const std::string &Name);
   /// Restarts the upstream, under \p Id unless that is empty, and writes its
-  /// record as ready. Returns false and does nothing if the upstream is
-  /// running.
+  /// record as ready; a record under its previous id is removed. Returns false
+  /// and does nothing if the upstream is running.
   bool start(const std::string &Name, const std::string &Id = "");
   void setFault(const std::string &Name, UpstreamFault F);
   /// Announces a version of an adapter in the store.
--- a/testing/process.h
+++ b/testing/process.h
@@ -47,8 +47,9 @@
 /// Returns each port only once per process. Not thread-safe.
 int freePort();
 
-/// Calls \p Holds every 20 ms until it returns true; false if it does not
-/// within \p Seconds.
+/// Calls \p Holds, with pauses of 20 ms, until it returns true; false if it
+/// does not before the pauses add up to \p Seconds. The time that the calls
+/// themselves take does not count.
 template <class Condition> bool eventually(Condition Holds, double Seconds);
 
 void pauseFor(int Milliseconds);
--- a/testing/process_test.cc
+++ b/testing/process_test.cc
@@ -220,7 +220,7 @@
 };
 
 // Faults of a side that owns shards of keys, and of the platform, while callers
-// send every key through both entries.
+// send every key twice, once through each entry.
 const OwnerFaultRow OwnerFaultRows[] = {
     {"owner frozen past its lease, then resumed", false,
      [](TestDeployment &Deployment) {
@@ -323,7 +323,7 @@
   Deployment.start();
   Callers Traffic(Deployment, 6);
   CHECK(eventually([&] { return Traffic.answered() > 100; }, MaxWaitSeconds));
-  // Silences all open connections of entry 1, to all sides.
+  // Silences all open connections of the first entry, to all sides.
   CHECK(std::stoi(Deployment.admin(Deployment.Relay.Admin,
                                    "/admin/silence?source=127.0.0.2")) > 0);
   const size_t Before = Traffic.answered();
--- a/testing/store_standin.h
+++ b/testing/store_standin.h
@@ -49,8 +49,10 @@
   /// Removes an object and notifies the watches of its kind. Does nothing if
   /// the object does not exist.
   void erase(const std::string &Kind, const std::string &Name);
-  /// Drops the log of changes. Open watches are not notified; later ones from a
-  /// dropped revision are answered with 410, which requires a new list.
+  /// Drops the log of changes up to the present revision. Open watches are not
+  /// notified; the next change of their kind answers them with 410, which
+  /// requires a new list. Later watches from the present revision or an earlier
+  /// one are answered with 410 at once.
   void dropHistory();
   void setFault(StoreFault F) { Fault = F; }
 
@@ -85,7 +87,7 @@
 
   boost::asio::io_context &Io;
   uint64_t Revision = 1;
-  /// Watches from earlier revisions are answered with 410.
+  /// Watches from a revision below this are answered with 410.
   uint64_t HistoryFrom = 0;
   StoreFault Fault = StoreFault::None;
   std::map<std::string, std::map<std::string, nlohmann::json>> Objects;
--- a/testing/upstream_standin.h
+++ b/testing/upstream_standin.h
@@ -26,7 +26,7 @@
   /// Ids of the requests that it executed, in order.
   std::vector<std::string> Ran;
   /// Rejected requests: they named another instance, or an adapter or version
-  /// that the upstream does not hold.
+  /// that the upstream does not hold or is about to unload.
   int Misdirected = 0;
   /// Orders that exceed the adapter slots or the concurrent loads, or that lack
   /// a field which the platform requires.
--- a/testing/world.cc
+++ b/testing/world.cc
@@ -145,8 +145,8 @@
   const auto C = Slot;
   const std::string Peer = std::to_string(Entry.Index) + "/" + Upstream + "/" +
                            std::to_string(C->Serial);
-  // ZeroMQ delivers a message at most once. Duplicates come from messages that
-  // the sender repeats, which the simulation does at random.
+  // ZeroMQ delivers a message at most once, but a sender may send it again; the
+  // simulation repeats messages at random.
   const int Copies = (Options.Faults & Duplicates) && chance(0.02) ? 2 : 1;
   for (int I = 0; I < Copies; ++I)
     schedule(networkDelay(), [this, Side, C, Peer, Message] {
@@ -307,7 +307,8 @@
 
 void Simulation::sendCompletion() {
   entry::CallerRequest Request;
-  // The popularity of an adapter falls with the square root of its number.
+  // The popularity of an adapter is inversely proportional to the square root
+  // of its number.
   const double Draw = Rand.unit();
   Request.Adapter = "a" + std::to_string(static_cast<size_t>(
                               Draw * Draw * static_cast<double>(AdapterCount)));
@@ -325,8 +326,8 @@
   Submitted.Model = slotKey(Request.Adapter, Request.Version);
   Request.Body = Submitted.Model + " " + Submitted.Tag;
   // All poison requests have the tag "poison" in their bodies, so a run cannot
-  // be attributed to one of them. A tag of its own here exempts each from the
-  // check of completions that were reported as not run.
+  // be attributed to one of them. A distinct tag in each submission exempts it
+  // from the check that completions reported as not run did not run.
   if (Poison)
     Submitted.Tag = "poison" + std::to_string(LastId);
   submit(Rand.below(EntryCount), std::move(Request), std::move(Submitted));
--- a/testing/world_nodes.h
+++ b/testing/world_nodes.h
@@ -12,7 +12,8 @@
 
 constexpr size_t EngineSlotCount = 3;
 
-// The adapters that the engine of a side holds, and the requests it runs.
+/// The engine of a side: the adapters that it holds, the requests that it runs,
+/// and how long its present faults last.
 struct Simulation::FakeEngine {
   struct Running {
     std::string Tag;
