--- a/soak/callers.cc
+++ b/soak/callers.cc
@@ -176,8 +176,9 @@
     --OpenCalls;
     if (Call->Done)
       Call->Done(End == CallEnd::Complete && Call->Answer.Status == 200);
-    // The call's handlers hold Call: dropping the call breaks the cycle.
-    // Posted, since this function may run inside one of those handlers.
+    // The handlers of the HTTP call hold Call, which holds the HTTP call:
+    // releasing Running breaks the cycle. The release is posted, since this
+    // function may run inside one of the handlers.
     asio::post(Io, [Call] { Call->Running.reset(); });
   }
 
--- a/soak/callers.h
+++ b/soak/callers.h
@@ -27,7 +27,8 @@
     Rate = PerSecond;
     return *this;
   }
-  /// No call is sent while this many are open.
+  /// Calls that fall due while this many are open are skipped. callAndWait() is
+  /// not subject to this limit.
   CallersOptions &setMaxOpen(size_t Calls) {
     MaxOpen = Calls;
     return *this;
--- a/soak/fleet_under_test.cc
+++ b/soak/fleet_under_test.cc
@@ -1,7 +1,7 @@
 // Processes, upstreams and proxy links listen at addresses of the form
-// 127.network.block.number. The network differs
-// between soak processes, so that several can run at once; each block holds the
-// addresses of one kind of listener.
+// 127.network.block.number. The network differs between soak processes, so that
+// several can run at once; each block holds the addresses of one kind of
+// listener.
 #include "soak/fleet_under_test.h"
 
 #include <algorithm>
--- a/soak/fleet_under_test.h
+++ b/soak/fleet_under_test.h
@@ -1,8 +1,8 @@
 // The deployment under test: real entry and side processes, stand-ins for
 // upstreams and the store, and the network links between them. The steps of a
 // schedule inject faults into all of these. Connections pass through the
-// loopback proxy, except those of a side to its own engine, which share an
-// instance, and to the store.
+// loopback proxy, except those that a side opens to its own engine, which runs
+// on the same instance, and to the store.
 //
 //   FleetUnderTest Fleet(SoakShape(), Oracle, Folder);
 //   Fleet.apply(Now, Step, Traffic);   // false: not yet possible, retry later
@@ -55,7 +55,7 @@
   };
   struct Upstream {
     std::string Name;
-    /// Changes when it restarts under another id.
+    /// Changes when the upstream restarts under another id.
     std::string Id;
   };
 
--- a/soak/promise_oracle.cc
+++ b/soak/promise_oracle.cc
@@ -10,7 +10,7 @@
 namespace goldcrestlink::soak {
 
 using testing::RunEnd;
-using testing::RunSeen;
+using testing::RunRecord;
 
 namespace {
 
@@ -182,7 +182,7 @@
          ConfiguredAt + Bounds.Configuration < Record.SentAt;
 }
 
-void GuaranteeOracle::onRun(const RunSeen &Observed) {
+void GuaranteeOracle::onRun(const RunRecord &Observed) {
   const std::lock_guard Lock(Mutex);
   const auto It = Calls.find(Observed.RequestId);
   if (It == Calls.end())
@@ -200,7 +200,7 @@
 }
 
 void GuaranteeOracle::checkRun(const CallRecord &Record,
-                               const RunSeen &Observed) {
+                               const RunRecord &Observed) {
   if (Observed.Body != Record.Sent.Body ||
       Observed.Target != Record.Sent.Target)
     addViolation("UNASKED", Record.Sent.Id,
@@ -315,8 +315,9 @@
       return std::lower_bound(All.begin(), All.end(), To) -
              std::lower_bound(All.begin(), All.end(), From);
     };
-    // The repeats of the window from Begin are allowed for by the first
-    // arrivals of the window after, before or around Begin, whichever has most.
+    // Checks the window that begins at each repeat. Its repeats are compared
+    // with the first arrivals in the window after, before or around Begin,
+    // whichever has most.
     for (const Time Begin : Repeated) {
       const Time End = Begin + Bounds.RetryWindow;
       const auto Repeats = static_cast<double>(Within(Repeated, Begin, End));
--- a/soak/promise_oracle.h
+++ b/soak/promise_oracle.h
@@ -34,7 +34,7 @@
 struct SentCall {
   std::string Id;
   CallKind Kind = CallKind::Read;
-  /// Index of the entry that it was sent to.
+  /// Index of the entry that the call was sent to.
   size_t Entry = 0;
   std::string Target;
   std::string Body;
@@ -96,8 +96,8 @@
                    const std::string &Details) override;
   /// Marks the runs in progress at \p Upstream as lost.
   void onUpstreamCrash(const std::string &Upstream);
-  /// The platform accepted a configuration; \p Extra tells whether it
-  /// contains the route of Extra.
+  /// The platform accepted a configuration; \p Extra tells whether it contains
+  /// the route of CallKind::Extra.
   void onConfiguration(Time Now, bool Extra);
   /// A fault that affects \p Entry began or ended. Calls sent through it before
   /// \p Now may stay unanswered.
@@ -129,7 +129,7 @@
     Time SentAt{};
     bool SentUndisturbed = false;
     bool Answered = false;
-    /// Whether it has reached an upstream.
+    /// Whether the request has reached an upstream.
     bool Arrived = false;
     bool RefusedAsNotRun = false;
     std::optional<Time> DisconnectedAt;
@@ -170,7 +170,7 @@
   std::optional<Time> UndisturbedSince;
   /// By entry: when a fault that affects it last began or ended.
   std::map<size_t, Time> DisturbedAt;
-  /// When the route of Extra was last added or removed.
+  /// When the route of CallKind::Extra was last added or removed.
   Time ConfiguredAt{};
   bool HasExtraRoute = false;
   size_t UndisturbedCalls = 0;
--- a/soak/schedule.h
+++ b/soak/schedule.h
@@ -21,8 +21,8 @@
   size_t Entries = 3;
   size_t Engines = 4;
   size_t Plains = 2;
-  /// How long an entry may take to stop; 8 is the value in the
-  /// deployment sheets.
+  /// How long an entry may take to stop; 8 is the value in the deployments'
+  /// data sheets.
   int StopSeconds = 8;
 
   /// Number of processes under test: the entries first, then a side per engine.
--- a/soak/testing/soak_test.cc
+++ b/soak/testing/soak_test.cc
@@ -19,7 +19,7 @@
 using namespace goldcrestlink;
 using namespace goldcrestlink::soak;
 using goldcrestlink::testing::RunEnd;
-using goldcrestlink::testing::RunSeen;
+using goldcrestlink::testing::RunRecord;
 using std::chrono::milliseconds;
 
 namespace {
@@ -42,8 +42,8 @@
             "r1 events=2"};
     Oracle.onSent(at(Ms), Call);
   }
-  RunSeen run(const std::string &Upstream = "u", int64_t Ms = 10) const {
-    RunSeen R;
+  RunRecord run(const std::string &Upstream = "u", int64_t Ms = 10) const {
+    RunRecord R;
     R.At = at(Ms);
     R.RequestId = "r1";
     R.Upstream = Upstream;
@@ -205,7 +205,7 @@
     {"run with a changed body", "UNASKED",
      [](History &H) {
        H.sent(CallKind::Read);
-       RunSeen R = H.run();
+       RunRecord R = H.run();
        R.Body = "other";
        H.Oracle.onRun(R);
        H.answered(H.refusal(502));
@@ -213,7 +213,7 @@
     {"run at a draining upstream", "DRAIN",
      [](History &H) {
        H.sent(CallKind::Read);
-       RunSeen R = H.run();
+       RunRecord R = H.run();
        R.Draining = milliseconds(2100);
        H.Oracle.onRun(R);
        H.answered(H.refusal(502));
@@ -221,7 +221,7 @@
     {"run at an upstream that has just started to drain", "",
      [](History &H) {
        H.sent(CallKind::Read);
-       RunSeen R = H.run();
+       RunRecord R = H.run();
        R.Draining = milliseconds(1900);
        H.Oracle.onRun(R);
        H.answered(H.refusal(502));
@@ -229,7 +229,7 @@
     {"run on an outdated version", "VERSION",
      [](History &H) {
        H.sent(CallKind::Stream);
-       RunSeen R = H.run();
+       RunRecord R = H.run();
        R.Outdated = milliseconds(5100);
        H.Oracle.onRun(R);
        H.answered(H.answer(200, CompleteStream));
@@ -239,7 +239,7 @@
        H.Oracle.endUndisturbed();
        H.Oracle.beginUndisturbed(at(-3000));
        H.sent(CallKind::Stream);
-       RunSeen R = H.run();
+       RunRecord R = H.run();
        R.Outdated = milliseconds(5100);
        H.Oracle.onRun(R);
        H.answered(H.answer(200, CompleteStream));
@@ -341,7 +341,7 @@
       const std::string Id = "c" + std::to_string(I % C.Calls);
       if (I < C.Calls)
         H.Oracle.onSent(at(I), {Id, CallKind::Read, 0, "/read/x", Id});
-      RunSeen R;
+      RunRecord R;
       R.At = at(I);
       R.RequestId = Id;
       R.Upstream = "u";
