--- a/standins/engine.cc
+++ b/standins/engine.cc
@@ -7,7 +7,8 @@
 //   POST /admin/crash?down_ms=N   crash now
 //   POST /admin/mute?on=1         accept calls without answering them
 //   POST /admin/wrong_model?count=N   name a wrong adapter in N answers
-//   GET  /admin/counts            steps, sequences, adapters, violations
+//   GET  /admin/counts            steps, sequences and adapters summed over
+//                                 steps, loads, violations, crashes
 //   GET  /admin/runs              one line per run: its "user" field
 //
 // One timer drives all sequences, so that the cost of a step is linear in the
--- a/standins/relay.cc
+++ b/standins/relay.cc
@@ -6,8 +6,9 @@
 //   POST /admin/silence?source=127.0.0.2&target=127.0.0.1:7000
 //
 // Silences the open connections from the given source (any if empty) to the
-// given target (any if empty) and answers with the number silenced since the
-// start. Each connection holds two fixed buffers.
+// given target (any if empty). Answers with the number of connections silenced
+// since the start; a connection that is silenced again counts again. Each
+// connection holds two fixed buffers.
 #include <array>
 #include <list>
 #include <memory>
