--- a/soak/guarantee_oracle.cc
+++ b/soak/guarantee_oracle.cc
@@ -315,8 +315,9 @@
       return std::lower_bound(All.begin(), All.end(), To) -
              std::lower_bound(All.begin(), All.end(), From);
     };
-    // The repeats of the window from Begin are allowed for by the first
-    // arrivals of the window after, before or around Begin, whichever has most.
+    // Checks the window that begins at each repeat. Its repeats are compared
+    // with the first arrivals in the window after, before or around Begin,
+    // whichever has most.
     for (const Time Begin : Repeated) {
       const Time End = Begin + Bounds.RetryWindow;
       const auto Repeats = static_cast<double>(Within(Repeated, Begin, End));
