--- a/bench/capacity.cc
+++ b/bench/capacity.cc
@@ -100,8 +100,9 @@
   }
 }
 
-// Measures the time that a process needs to activate a configuration in which
-// one adapter has changed.
+// Measures the time that a process needs to activate a small change, given the
+// changed chunks: it parses them and builds the declarations. Each generation
+// gives a second version to one adapter and takes it from the previous one.
 void measureConfigChange() {
   std::printf(
       "one changed adapter: adapters, ms to read the chunk and build\n");
--- a/bench/overhead.cc
+++ b/bench/overhead.cc
@@ -139,22 +139,23 @@
   Shape.StepMs = 0;
   Shape.MaxBatch = 256;
   try {
-    testing::TestDeployment F(Shape, Programs, "/tmp/goldcrestlink-overhead");
-    F.start();
-    const std::vector<http::Endpoint> Entry = {F.Entries[0].Http};
+    testing::TestDeployment Fleet(Shape, Programs,
+                                  "/tmp/goldcrestlink-overhead");
+    Fleet.start();
+    const std::vector<http::Endpoint> Entry = {Fleet.Entries[0].Http};
     const LoadProfile LowLoad{2, 4, Seconds};
     const LoadProfile HighLoad{2, ManyConnections, Seconds};
     // Warm-up: loads every adapter at an engine that the entry chooses. The
     // direct calls need every adapter at every engine, which is loaded below.
     measure(Entry, {1, 8, 2});
     std::vector<http::Endpoint> Direct;
-    for (const auto &E : F.Engines)
+    for (const auto &E : Fleet.Engines)
       Direct.push_back(E.Http);
-    for (const auto &E : F.Engines)
+    for (const auto &E : Fleet.Engines)
       for (size_t I = 0; I < 8; ++I)
-        F.admin(E.Http, "/v1/load_lora_adapter", "POST",
-                R"({"lora_name":"a)" + std::to_string(I) + R"(@1","slot":)" +
-                    std::to_string(I) + "}");
+        Fleet.admin(E.Http, "/v1/load_lora_adapter", "POST",
+                    R"({"lora_name":"a)" + std::to_string(I) +
+                        R"(@1","slot":)" + std::to_string(I) + "}");
     const Measurement DirectLatency = measure(Direct, LowLoad);
     printMeasurement("direct, 8 connections", DirectLatency);
     // Lets the sides detect that the slots of their engines have changed,
@@ -166,15 +167,15 @@
                 PathLatency.P50Ms - DirectLatency.P50Ms,
                 PathLatency.P99Ms - DirectLatency.P99Ms);
     printMeasurement("direct, many connections", measure(Direct, HighLoad));
-    const double EntryBefore = F.Entries[0].Child->processorSeconds();
+    const double EntryBefore = Fleet.Entries[0].Child->processorSeconds();
     double SidesBefore = 0;
-    for (const auto &S : F.EngineSides)
+    for (const auto &S : Fleet.EngineSides)
       SidesBefore += S.Child->processorSeconds();
     const Measurement PathThroughput = measure(Entry, HighLoad);
     const double EntryUsed =
-        F.Entries[0].Child->processorSeconds() - EntryBefore;
+        Fleet.Entries[0].Child->processorSeconds() - EntryBefore;
     double SidesUsed = -SidesBefore;
-    for (const auto &S : F.EngineSides)
+    for (const auto &S : Fleet.EngineSides)
       SidesUsed += S.Child->processorSeconds();
     printMeasurement("entry and side, many connections", PathThroughput);
     const double Requests = PathThroughput.PerSecond * Seconds;
--- a/bench/scenario.cc
+++ b/bench/scenario.cc
@@ -38,8 +38,10 @@
 // One work order in this many is sent a second time with the same key.
 constexpr uint64_t ResendOneIn = 100;
 constexpr double ResendAfterSeconds = 2;
-// A request that has not ended this long after its deadline counts as hanging.
+// The client's silence timeout is the rank's deadline plus this. A request that
+// takes about as long counts as hanging.
 constexpr double HangGraceSeconds = 5;
+// As declared by testing::TestDeployment.
 constexpr std::array<double, RankCount> RankDeadlineSeconds = {8, 25, 70};
 constexpr size_t PoisonSends = 20;
 
@@ -261,11 +263,13 @@
   }
 
   // Records the result, and checks that the answer is complete and belongs to
-  // this request.
-  void finish(PendingAnswer &Answer, bool Ended, const std::string &Model) {
+  // this request. Received: the call ended without an error.
+  void finish(PendingAnswer &Answer, bool Received, const std::string &Model) {
     RequestResult &R = *Answer.Result;
     R.Ended = true;
     R.Total = seconds(currentTime().Steady - Answer.Sent);
+    // One second below the client's timeout, so that a call which the client
+    // gave up counts as hanging.
     if (R.Total > RankDeadlineSeconds[R.Rank] + HangGraceSeconds - 1)
       Record.Violations.push_back("hang " + R.Tag);
     if (R.Status != 200) {
@@ -301,9 +305,9 @@
     }
     if (WrongAnswer)
       Record.Violations.push_back("answer of another request " + R.Tag);
-    if (Ended && Done && Tokens != R.Tokens)
+    if (Received && Done && Tokens != R.Tokens)
       Record.Violations.push_back("incomplete answer " + R.Tag);
-    R.Complete = Ended && Done && Tokens == R.Tokens;
+    R.Complete = Received && Done && Tokens == R.Tokens;
     if (!R.Complete && R.Code.empty())
       R.Code = "cut";
   }
--- a/bench/scenario_report.cc
+++ b/bench/scenario_report.cc
@@ -39,6 +39,7 @@
       continue;
     const bool WithinTarget =
         R->Complete && R->Total <= RankTargetSeconds[Rank];
+    // All floods of the scenarios last from 15 s to 45 s.
     const bool InFlood = R->SentAt >= 15 && R->SentAt < 45;
     Offered += 1;
     InTime += WithinTarget ? 1 : 0;
--- a/bench/scenario_report.h
+++ b/bench/scenario_report.h
@@ -63,6 +63,7 @@
   uint64_t Seed = 0;
   double ComputeBound = 0;
   double StoreBound = 0;
+  /// Offered rate without the additional requests of floods.
   double RequestsPerSecond = 0;
   /// Duration of the measurement.
   double MeasuredSeconds = 0;
--- a/cli/apply.cc
+++ b/cli/apply.cc
@@ -1,9 +1,9 @@
 // Chunks are written before the head, each under its hash and only if absent.
 // All declarations then become visible with one conditional update of the head.
-// If the response to that update is lost, the head is read back: it holds
-// either these declarations, the base, or those of another operator. Only
-// chunks that the base lacks are written, and the number of attempts is
-// bounded.
+// If the response to that update is lost or reports a conflict, the head is
+// read back: it holds either these declarations, the base, or those of another
+// operator. Only chunks that the base lacks are written, and the number of
+// attempts is bounded.
 #include "cli/apply.h"
 
 #include <algorithm>
@@ -127,7 +127,7 @@
     ObjectValue Chunk;
     if (Platform.read(objects::configChunk(Hash), Chunk) != ObjectStatus::Ok)
       throw std::runtime_error("cannot read a chunk of the configuration: "
-                               "object API does not answer");
+                               "object API does not answer or lacks it");
     Out.Chunks[Hash] = Chunk.Body;
   }
   Out.Files = unpackBundle(Out.Head, Out.Chunks);
--- a/cli/apply.h
+++ b/cli/apply.h
@@ -31,8 +31,8 @@
 };
 
 /// Reads the configuration in force. Throws std::runtime_error if the object
-/// API does not answer, and std::invalid_argument if the configuration cannot
-/// be decoded.
+/// API does not answer or lacks a chunk, and std::invalid_argument if the
+/// configuration cannot be decoded.
 RemoteConfig readRemoteConfig(BlockingObjectClient &Platform);
 
 /// Lists the sections that differ between two sets, one per line: "+ kind name"
@@ -46,7 +46,7 @@
   Applied,
   /// The declarations are already in force.
   Unchanged,
-  /// Another operator applied a configuration first; this one was not applied.
+  /// Another operator's configuration is in force instead of this one.
   Conflict,
   /// The object API did not answer the update, and reading the head back did
   /// not show whether the update took effect.
--- a/cli/fleet_view.h
+++ b/cli/fleet_view.h
@@ -1,5 +1,5 @@
 // Reads routes and upstreams of a deployment from the platform's store and
-// prints them for operators.
+// formats them for operators.
 //
 //   Catalog C = readFleet({"127.0.0.1", 9000}, std::chrono::seconds(5));
 //   std::fputs(fleetText(C).c_str(), stdout);
--- a/cli/main.cc
+++ b/cli/main.cc
@@ -1,8 +1,8 @@
 // The operators' command-line tool:
 // goldcrestlink check|diff|apply|status|explain|check-settings|fleet|story.
 // Exit codes: 0 success; 1 failure or unknown outcome; 2 findings or wrong
-// usage; 3 conflict with another operator. Each command makes one pass over its
-// input; calls to the platform and to processes have timeouts.
+// usage; 3 conflict with another operator. Each command reads its files once;
+// calls to the platform and to processes have timeouts.
 #include <cstdio>
 #include <filesystem>
 #include <fstream>
@@ -114,8 +114,8 @@
   return R.Outcome == ApplyOutcome::Unknown ? ExitFailed : 0;
 }
 
-// Prints the status of each declared cell, which the cell's status writer keeps
-// in the object API. Fails if a cell has none.
+// Prints the status of each declared cell, which one side of the cell keeps in
+// the object API. Fails if the status of a cell cannot be read.
 int cellStatus(const Arguments &Args) {
   BlockingObjectClient Platform(endpoints(Args.Platform));
   FindingList Findings;
--- a/cli/request_story.cc
+++ b/cli/request_story.cc
@@ -1,8 +1,8 @@
 // Two passes over all lines: the first finds the lines with the request's id
 // and collects the admission requests and adapters that they name; the second
-// adds the lines about these. Each entry numbers its admission requests from a
-// random start, so that a number identifies one admission request across
-// entries.
+// adds the lines about these that have no request id. Each entry numbers its
+// admission requests from a random start, so that a number identifies one
+// admission request across entries.
 #include "cli/request_story.h"
 
 #include <algorithm>
--- a/cli/request_story.h
+++ b/cli/request_story.h
@@ -35,8 +35,8 @@
 std::vector<LogLine> readLogLines(const std::string &Source,
                                   std::string_view Text);
 
-/// The request's lines of \p All, sorted by time; empty if no line has its id.
-/// Thread-safe.
+/// The lines of \p All that belong to the timeline of the request, sorted by
+/// time; empty if no line has its id. Thread-safe.
 std::vector<LogLine> requestTimeline(std::string_view RequestId,
                                      std::span<const LogLine> All);
 
--- a/examples/demo.cc
+++ b/examples/demo.cc
@@ -1,7 +1,8 @@
 // Runs a small but complete deployment on loopback and uses it as callers and
 // operators do: it sends streamed and unstreamed requests through both entries,
-// sends a work order twice that must be executed once, applies a new adapter
-// version, and prints the status of an entry.
+// sends the same work order twice, which must be executed only once, applies a
+// new adapter version, and prints an entry's status and its explanation of
+// where it would route a request.
 #include <cstdio>
 #include <string>
 
