--- /dev/null
+++ b/daemon/catalog_codec.h
@@ -0,0 +1,28 @@
+// Encodes and decodes the messages by which processes exchange catalog state: a
+// digest of revisions, a request for newer state, and an update with that
+// state.
+//
+//   wire::Envelope E = encodeDigest(Catalog.revisions());
+//   auto Update = decodeCatalogUpdate(E.beliefs());
+#ifndef GOLDCRESTLINK_DAEMON_CATALOG_CODEC_H
+#define GOLDCRESTLINK_DAEMON_CATALOG_CODEC_H
+
+#include "catalog/catalog.h"
+#include "wire/generated/messages.pb.h"
+
+namespace goldcrestlink {
+
+// All functions are thread-safe.
+
+/// Announces the revisions of the sender's catalog.
+wire::Envelope encodeDigest(const CatalogRevisions &Revisions);
+/// Requests the state that is newer than \p Known.
+wire::Envelope encodeCatalogRequest(const CatalogRevisions &Known);
+wire::Envelope encodeCatalogUpdate(const CatalogUpdate &Update);
+CatalogRevisions decodeRevisions(const wire::BeliefRevisions &Message);
+/// Omits upstreams whose address cannot be parsed.
+CatalogUpdate decodeCatalogUpdate(const wire::Beliefs &Message);
+
+} // namespace goldcrestlink
+
+#endif // GOLDCRESTLINK_DAEMON_CATALOG_CODEC_H
--- /dev/null
+++ b/daemon/store_watcher.cc
@@ -0,0 +1,202 @@
+// Changes that arrive together cause one notification. Unreadable records are
+// logged and leave the catalog unchanged, except that an unreadable record of
+// an upstream removes the upstream, since it no longer says how to reach it.
+#include "daemon/store_watcher.h"
+
+#include <boost/asio/io_context.hpp>
+#include <boost/asio/post.hpp>
+
+namespace goldcrestlink {
+
+namespace {
+// How often to look for absent upstreams whose grace period after an outage of
+// the store has ended.
+constexpr Duration AbsenceCheckInterval = std::chrono::milliseconds(200);
+// Pause between watches of upstreams, so that one call reports several changes:
+// each upstream writes its record about once a second, mostly to change values
+// that are not used here. A draining upstream must be known well within the
+// platform's two seconds.
+constexpr Duration UpstreamWatchPause = std::chrono::milliseconds(600);
+// Mean time between renewals of watches of one kind over all entries. A store
+// that drops its history does not answer open watches, so a change may be seen
+// only after a renewal; configurations must be in force within two seconds and
+// releases within five.
+constexpr Duration ConfigRenewalInterval = std::chrono::milliseconds(450);
+constexpr Duration ReleaseRenewalInterval = std::chrono::milliseconds(1000);
+} // namespace
+
+StoreWatcher::StoreWatcher(boost::asio::io_context &InIo,
+                           const http::Endpoint &Address, uint64_t Seed,
+                           OnChanged InNotifyChanged, OnLog InLog)
+    : Io(InIo), Store(InIo, Address, platform::StoreClient::Options(), Seed),
+      AbsenceTimer(InIo), NotifyChanged(std::move(InNotifyChanged)),
+      Log(std::move(InLog)) {}
+
+void StoreWatcher::start() {
+  using platform::StoreObject;
+  Store.onReachabilityChange(
+      [this](bool Reached, std::string_view Why) { onContact(Reached, Why); });
+  platform::WatchHandlers Config;
+  Config.OnList = [this](uint64_t Revision,
+                         const std::vector<StoreObject> &List) {
+    logList(platform::kinds::Config, Revision, List);
+    for (const StoreObject &Object : List)
+      onConfigObject(Object);
+  };
+  Config.OnChange = [this](const StoreObject &Object) {
+    onConfigObject(Object);
+  };
+  Store.watch(platform::kinds::Config, std::move(Config));
+
+  platform::WatchHandlers Upstreams;
+  Upstreams.OnList = [this](uint64_t Revision,
+                            const std::vector<StoreObject> &List) {
+    onUpstreams(Revision, List);
+  };
+  Upstreams.OnChange = [this](const StoreObject &Object) {
+    onUpstream(Object);
+  };
+  Upstreams.OnRecovered = [this] {
+    KnownCatalog.onStoreReconnected(currentTime().Steady);
+  };
+  Upstreams.BatchDelay = UpstreamWatchPause;
+  Store.watch(platform::kinds::Upstreams, std::move(Upstreams));
+
+  platform::WatchHandlers Releases;
+  Releases.OnList = [this](uint64_t Revision,
+                           const std::vector<StoreObject> &List) {
+    logList(platform::kinds::Releases, Revision, List);
+    for (const StoreObject &Object : List)
+      onRelease(Object);
+  };
+  Releases.OnChange = [this](const StoreObject &Object) { onRelease(Object); };
+  Store.watch(platform::kinds::Releases, std::move(Releases));
+}
+
+void StoreWatcher::setEntryCount(size_t Count) {
+  const auto Factor = static_cast<int64_t>(Count);
+  Store.setWatchTime(platform::kinds::Config, ConfigRenewalInterval * Factor);
+  Store.setWatchTime(platform::kinds::Releases,
+                     ReleaseRenewalInterval * Factor);
+}
+
+void StoreWatcher::logList(std::string_view Kind, uint64_t Revision,
+                           const std::vector<platform::StoreObject> &List) {
+  uint64_t Newest = 0;
+  for (const platform::StoreObject &Object : List)
+    Newest = std::max(Newest, Object.Revision);
+  Log("store listed=" + std::string(Kind) + " objects=" +
+      std::to_string(List.size()) + " revision=" + std::to_string(Revision) +
+      " newest=" + std::to_string(Newest));
+}
+
+void StoreWatcher::onConfigObject(const platform::StoreObject &Object) {
+  if (Object.Removed || Object.Content.empty())
+    return;
+  try {
+    auto Config = std::make_shared<DeploymentConfig>(
+        platform::decodeConfig(Object.Content));
+    const uint64_t Version = Config->Version;
+    const size_t Routes = Config->Routes.size();
+    if (!KnownCatalog.applyConfig(std::move(Config), Object.Content))
+      return;
+    Log("config version=" + std::to_string(Version) + " revision=" +
+        std::to_string(Object.Revision) + " routes=" + std::to_string(Routes));
+    scheduleNotification();
+  } catch (const platform::DecodeError &Error) {
+    Log("config object=" + Object.Name + " outcome=unreadable why=\"" +
+        Error.what() + "\"");
+  }
+}
+
+void StoreWatcher::onUpstreams(uint64_t Revision,
+                               const std::vector<platform::StoreObject> &List) {
+  std::map<std::string, UpstreamRecord> Records;
+  for (const platform::StoreObject &Object : List)
+    if (auto Record = platform::decodeUpstream(Object.Name, Object.Content))
+      Records[Object.Name] = std::move(*Record);
+  Log("upstreams listed=" + std::to_string(List.size()) + " usable=" +
+      std::to_string(Records.size()) + " revision=" + std::to_string(Revision));
+  KnownCatalog.applyUpstreams(currentTime().Steady, Revision, Records);
+  scheduleNotification();
+  scheduleAbsenceCheck();
+}
+
+void StoreWatcher::onUpstream(const platform::StoreObject &Object) {
+  std::optional<UpstreamRecord> Record;
+  if (!Object.Removed)
+    Record = platform::decodeUpstream(Object.Name, Object.Content);
+  if (!KnownCatalog.applyUpstream(currentTime().Steady, Object.Revision,
+                                  Object.Name, Record ? &*Record : nullptr))
+    return;
+  Log("upstream id=" + Object.Name + " state=" +
+      (Record ? (Record->Draining ? "draining" : "ready")
+              : (Object.Removed ? "removed" : "unreadable")) +
+      " revision=" + std::to_string(Object.Revision));
+  scheduleNotification();
+  scheduleAbsenceCheck();
+}
+
+void StoreWatcher::onRelease(const platform::StoreObject &Object) {
+  if (Object.Removed)
+    return;
+  auto Record = platform::decodeRelease(Object.Content);
+  if (!Record) {
+    Log("release object=" + Object.Name + " outcome=unreadable");
+    return;
+  }
+  Record->Revision = Object.Revision;
+  if (!KnownCatalog.applyRelease(*Record))
+    return;
+  Log("release model=" + Record->Model + " adapter=" + Record->Adapter +
+      " version=" + std::to_string(Record->Version) +
+      " revision=" + std::to_string(Object.Revision));
+  scheduleNotification();
+}
+
+void StoreWatcher::onCatalogUpdate(const CatalogUpdate &Update) {
+  bool Applied = KnownCatalog.applyUpdate(currentTime().Steady, Update);
+  if (!Update.ConfigText.empty()) {
+    platform::StoreObject Object;
+    Object.Name = "peer";
+    Object.Content = Update.ConfigText;
+    onConfigObject(Object);
+  }
+  if (!Applied)
+    return;
+  Log("beliefs upstreams=" + std::to_string(Update.Upstreams.size()) +
+      " releases=" + std::to_string(Update.Releases.size()) +
+      " upstream_revision=" + std::to_string(Update.AsOf.Upstreams) +
+      " store=" + (InContact ? "reached" : "lost"));
+  scheduleNotification();
+}
+
+void StoreWatcher::onContact(bool Reached, std::string_view Why) {
+  InContact = Reached;
+  Log(std::string("store state=") + (Reached ? "regained" : "lost") +
+      " why=\"" + std::string(Why) + "\"");
+}
+
+void StoreWatcher::scheduleNotification() {
+  if (NotificationPending)
+    return;
+  NotificationPending = true;
+  boost::asio::post(Io, [this] {
+    NotificationPending = false;
+    NotifyChanged();
+  });
+}
+
+void StoreWatcher::scheduleAbsenceCheck() {
+  AbsenceTimer.expires_after(AbsenceCheckInterval);
+  AbsenceTimer.async_wait([this](boost::system::error_code Error) {
+    if (Error)
+      return;
+    if (KnownCatalog.onTimer(currentTime().Steady))
+      scheduleNotification();
+    if (KnownCatalog.hasDeferredRemovals())
+      scheduleAbsenceCheck();
+  });
+}
+
+} // namespace goldcrestlink
--- /dev/null
+++ b/daemon/store_watcher.h
@@ -0,0 +1,67 @@
+// Keeps a Catalog up to date from the platform's store and reports changes.
+//
+//   StoreWatcher Watcher(Io, StoreAddress, Seed,
+//                        [&] { publish(Watcher.catalog()); }, Log);
+//   Watcher.start();
+#ifndef GOLDCRESTLINK_DAEMON_STORE_WATCHER_H
+#define GOLDCRESTLINK_DAEMON_STORE_WATCHER_H
+
+#include <functional>
+#include <memory>
+#include <string>
+
+#include <boost/asio/steady_timer.hpp>
+
+#include "catalog/catalog.h"
+#include "platform/store_client.h"
+
+namespace goldcrestlink {
+
+/// Not thread-safe.
+class StoreWatcher {
+public:
+  /// Called after the catalog has changed.
+  using OnChanged = std::function<void()>;
+  using OnLog = std::function<void(std::string)>;
+
+  StoreWatcher(boost::asio::io_context &Io, const http::Endpoint &Store,
+               uint64_t Seed, OnChanged NotifyChanged, OnLog Log);
+  /// Lists and watches the store from now on, as long as the object exists.
+  void start();
+  /// Applies newer catalog state received from another process.
+  void onCatalogUpdate(const CatalogUpdate &Update);
+  /// Sets the number of entries that exchange catalog state, this one included.
+  /// Each renews its watches of configurations and releases at intervals
+  /// proportional to this number, so that the total rate of renewals does not
+  /// grow with the number of entries.
+  void setEntryCount(size_t Count);
+  const Catalog &catalog() const { return KnownCatalog; }
+  /// False while the store cannot be reached.
+  bool inContact() const { return InContact; }
+  uint64_t storeCalls() const { return Store.calls(); }
+
+private:
+  void logList(std::string_view Kind, uint64_t Revision,
+               const std::vector<platform::StoreObject> &List);
+  void onConfigObject(const platform::StoreObject &Object);
+  void onUpstreams(uint64_t Revision,
+                   const std::vector<platform::StoreObject> &List);
+  void onUpstream(const platform::StoreObject &Object);
+  void onRelease(const platform::StoreObject &Object);
+  void onContact(bool Reached, std::string_view Why);
+  void scheduleNotification();
+  void scheduleAbsenceCheck();
+
+  boost::asio::io_context &Io;
+  platform::StoreClient Store;
+  boost::asio::steady_timer AbsenceTimer;
+  Catalog KnownCatalog;
+  OnChanged NotifyChanged;
+  OnLog Log;
+  bool InContact = true;
+  bool NotificationPending = false;
+};
+
+} // namespace goldcrestlink
+
+#endif // GOLDCRESTLINK_DAEMON_STORE_WATCHER_H
--- /dev/null
+++ b/forward/engine_ranker.cc
@@ -0,0 +1,197 @@
+// Each adapter has its own rendezvous order of the engines. The first usable
+// engines in that order are its preferred ones, as many as its demand needs. A
+// rarely used adapter thus returns to the engine that can reload it fastest,
+// and a heavily used one gets replicas. The expected time to the first token is
+// the prefill time of the queued prompts and of the request's own prompt, plus
+// a load if the engine does not hold the adapter. One ranking visits each
+// engine once and sorts twice.
+#include "forward/engine_ranker.h"
+
+#include <algorithm>
+#include <cmath>
+
+#include "base/hash.h"
+
+namespace goldcrestlink::forward {
+
+namespace {
+// Time constant over which demand is averaged.
+constexpr double DemandSeconds = 5.0;
+// Time constant over which a sudden rise in demand is detected.
+constexpr double ShortTermSeconds = 0.7;
+// Arrivals at all entries within the short term that may be random fluctuation;
+// only more than these count as a rise.
+constexpr double NoiseArrivals = 18;
+// Prompt tokens counted per request at most: a single large prompt does not
+// show lasting demand.
+constexpr uint32_t MaxDemandTokens = 1500;
+// Prompt tokens per millisecond, while no engine has reported its rate.
+constexpr double DefaultPrefillRate = 20;
+
+double decay(Duration Age, double TimeConstant) {
+  return std::exp(-seconds(Age) / TimeConstant);
+}
+} // namespace
+
+void EngineRanker::onLoad(Time Now, const std::string &Id,
+                          const EngineLoad &Load) {
+  EngineState &State = States[Id];
+  State.Load = Load;
+  State.Known = true;
+  for (size_t Row = 0; Row < BacklogRanks; ++Row)
+    State.BacklogEnd[Row] = Now + Load.Backlog[Row];
+  State.SideBackoffUntil = Time{};
+}
+
+void EngineRanker::onDemand(Time Now, const EngineRequirements &Required) {
+  if (Required.Adapter.empty())
+    return;
+  if (Demands.size() >= Opts.maxAdapters())
+    std::erase_if(Demands, [&](const auto &Item) {
+      return Now - Item.second.UpdatedAt > std::chrono::seconds(10);
+    });
+  if (Demands.size() >= Opts.maxAdapters())
+    return;
+  Demand &D = Demands[adapterName(Required.Model, Required.Adapter)];
+  const double Tokens = std::min(Required.PromptTokens, MaxDemandTokens);
+  const double ShortTermDecay = decay(Now - D.UpdatedAt, ShortTermSeconds);
+  D.TokenRate = D.TokenRate * decay(Now - D.UpdatedAt, DemandSeconds) +
+                Tokens / DemandSeconds;
+  D.ShortTermCount = D.ShortTermCount * ShortTermDecay + 1;
+  D.ShortTermTokens = D.ShortTermTokens * ShortTermDecay + Tokens;
+  D.UpdatedAt = Now;
+}
+
+double EngineRanker::tokenRate(Time Now, const std::string &Name) const {
+  const auto It = Demands.find(Name);
+  if (It == Demands.end())
+    return 0;
+  const Demand &D = It->second;
+  const double ShortTermDecay = decay(Now - D.UpdatedAt, ShortTermSeconds);
+  const double Count =
+      D.ShortTermCount * ShortTermDecay * static_cast<double>(Entries);
+  const double ShortTermRate =
+      D.ShortTermTokens * ShortTermDecay / ShortTermSeconds *
+      std::max(0.0, 1 - NoiseArrivals / std::max(Count, 1.0));
+  return std::max(D.TokenRate * decay(Now - D.UpdatedAt, DemandSeconds),
+                  ShortTermRate);
+}
+
+void EngineRanker::onSent(Time Now, const std::string &Id,
+                          const EngineRequirements &Required) {
+  EngineState &State = States[Id];
+  const Duration PrefillTime(static_cast<int64_t>(
+      Required.PromptTokens * 1000.0 / State.Load.PrefillRate));
+  // The engine prefills more urgent prompts first, so they do not wait for this
+  // one.
+  for (size_t Row = backlogRow(Required.Rank); Row < BacklogRanks; ++Row)
+    State.BacklogEnd[Row] = std::max(State.BacklogEnd[Row], Now) + PrefillTime;
+}
+
+void EngineRanker::onOutcome(Time Now, const std::string &Id, bool Failed) {
+  States[Id].Health.onOutcome(Now, Failed);
+}
+
+void EngineRanker::onSideSilent(Time Now, const std::string &Id) {
+  States[Id].SideBackoffUntil = Now + Opts.unresponsiveBackoff();
+}
+
+void EngineRanker::onSideAnswered(const std::string &Id) {
+  States[Id].SideBackoffUntil = Time{};
+}
+
+void EngineRanker::onUnreachable(Time Now, const std::string &Id) {
+  States[Id].Health.onUnreachable(Now, Opts.unresponsiveBackoff());
+}
+
+void EngineRanker::onReplaced(const std::string &Id) {
+  States[Id].Health.onReplaced();
+}
+
+void EngineRanker::retain(const std::map<std::string, UpstreamRecord> &Known) {
+  std::erase_if(States,
+                [&](const auto &Item) { return !Known.contains(Item.first); });
+}
+
+double EngineRanker::meanPrefillRate() const {
+  double Sum = 0;
+  size_t Count = 0;
+  for (const auto &[Id, State] : States)
+    if (State.Known) {
+      Sum += State.Load.PrefillRate;
+      ++Count;
+    }
+  return Count == 0 ? DefaultPrefillRate : Sum / static_cast<double>(Count);
+}
+
+size_t
+EngineRanker::preferredEngines(Time Now,
+                               const EngineRequirements &Required) const {
+  if (Required.Adapter.empty())
+    return 0;
+  const double PrefillLoad =
+      tokenRate(Now, adapterName(Required.Model, Required.Adapter)) *
+      static_cast<double>(Entries) / (meanPrefillRate() * 1000.0);
+  return 1 + static_cast<size_t>(PrefillLoad / Opts.adapterUtilisationLimit());
+}
+
+std::vector<EngineCandidate> EngineRanker::rank(
+    Time Now, const EngineRequirements &Required,
+    std::span<const UpstreamRecord *const> ReadyUpstreams) const {
+  const uint32_t AdapterHash = adapterHash(Required.Model, Required.Adapter);
+  const uint64_t Key = hash64(adapterName(Required.Model, Required.Adapter));
+  std::vector<std::pair<uint64_t, const UpstreamRecord *>> Order;
+  for (const UpstreamRecord *U : ReadyUpstreams)
+    Order.emplace_back(mixHash(Key, hash64(U->Id)), U);
+  std::sort(Order.begin(), Order.end(), std::greater<>());
+  const size_t PreferredCount = preferredEngines(Now, Required);
+  std::vector<EngineCandidate> Out;
+  static const EngineState Unknown;
+  size_t Position = 0;
+  for (const auto &[Score, U] : Order) {
+    const auto It = States.find(U->Id);
+    const EngineState &State = It == States.end() ? Unknown : It->second;
+    if (!State.Health.usable(Now) || (State.Known && !State.Load.Serving))
+      continue;
+    EngineCandidate Candidate;
+    Candidate.Upstream = U;
+    Candidate.IsPreferred = Position < PreferredCount;
+    ++Position;
+    Candidate.SideAnswers = Now >= State.SideBackoffUntil;
+    Candidate.HoldsAdapter =
+        Required.Adapter.empty() ||
+        std::find(State.Load.Held.begin(), State.Load.Held.end(),
+                  AdapterHash) != State.Load.Held.end();
+    if (!Candidate.SideAnswers && !Candidate.HoldsAdapter)
+      continue;
+    Candidate.Expected =
+        std::max(Duration(0),
+                 State.BacklogEnd[backlogRow(Required.Rank)] - Now) +
+        Duration(static_cast<int64_t>(Required.PromptTokens * 1000.0 /
+                                      State.Load.PrefillRate));
+    if (!Candidate.HoldsAdapter)
+      Candidate.Expected +=
+          Candidate.IsPreferred ? Opts.preferredLoadTime() : Opts.loadTime();
+    Candidate.Cost = Candidate.Expected;
+    Candidate.Cost += Duration(static_cast<int64_t>(
+        State.Load.Utilisation * State.Load.Utilisation *
+        static_cast<double>(Opts.utilisationCost().count())));
+    Candidate.Cost +=
+        Opts.runningCost() * static_cast<int64_t>(State.Load.Running);
+    if (!Candidate.HoldsAdapter && !Candidate.IsPreferred)
+      Candidate.Cost += Opts.extraCopyCost();
+    if (U->DataCentre != Opts.dataCentre())
+      Candidate.Cost += Opts.distanceCost();
+    Candidate.Cost += Duration(
+        static_cast<int64_t>(State.Health.failureShare(Now) *
+                             static_cast<double>(Opts.failureCost().count())));
+    Out.push_back(Candidate);
+  }
+  std::stable_sort(Out.begin(), Out.end(),
+                   [](const EngineCandidate &A, const EngineCandidate &B) {
+                     return A.Cost < B.Cost;
+                   });
+  return Out;
+}
+
+} // namespace goldcrestlink::forward
--- /dev/null
+++ b/forward/engine_ranker.h
@@ -0,0 +1,187 @@
+// Tracks the load, held adapters and health of each engine as this entry knows
+// them, and ranks the engines for a request. The cheapest engine is the one
+// where the first token is expected soonest, with costs added for load,
+// distance, failures and extra copies of an adapter.
+//
+//   EngineRanker R(EngineRanker::Options().setDataCentre("dc-1"));
+//   R.onLoad(Now, "id-1", Load);
+//   R.onDemand(Now, Required);
+//   auto Ranked = R.rank(Now, Required, Upstreams);     // cheapest first
+#ifndef GOLDCRESTLINK_FORWARD_ENGINE_RANKER_H
+#define GOLDCRESTLINK_FORWARD_ENGINE_RANKER_H
+
+#include <array>
+#include <map>
+#include <span>
+#include <string>
+#include <unordered_map>
+#include <unordered_set>
+#include <vector>
+
+#include "admission/side_admission.h"
+#include "catalog/types.h"
+#include "forward/upstream_health.h"
+
+namespace goldcrestlink::forward {
+
+/// What a request requires of an engine.
+struct EngineRequirements {
+  std::string Model;
+  /// Empty for the base model itself.
+  std::string Adapter;
+  /// Released version of the adapter; 0 if none is known.
+  uint64_t Version = 0;
+  uint32_t PromptTokens = 0;
+  uint32_t Rank = 0;
+};
+
+/// An engine as a candidate for one request.
+struct EngineCandidate {
+  const UpstreamRecord *Upstream = nullptr;
+  /// Expected time to the first token.
+  Duration Expected{};
+  /// Expected plus the costs of distance, failures, load and extra copies.
+  Duration Cost{};
+  /// The engine holds the adapter; always true for the base model itself.
+  bool HoldsAdapter = false;
+  /// False during the backoff after the side beside the engine did not answer.
+  bool SideAnswers = true;
+  /// The engine is one of those that should hold the adapter, given its present
+  /// demand.
+  bool IsPreferred = false;
+};
+
+/// Not thread-safe. Memory is bounded by the upstreams known and by
+/// Options::maxAdapters().
+class EngineRanker {
+public:
+  class Options {
+  public:
+    const std::string &dataCentre() const { return DataCentre; }
+    size_t maxAdapters() const { return MaxAdapters; }
+    Duration loadTime() const { return LoadTime; }
+    Duration preferredLoadTime() const { return PreferredLoadTime; }
+    Duration distanceCost() const { return DistanceCost; }
+    Duration extraCopyCost() const { return ExtraCopyCost; }
+    Duration runningCost() const { return RunningCost; }
+    Duration utilisationCost() const { return UtilisationCost; }
+    Duration failureCost() const { return FailureCost; }
+    double adapterUtilisationLimit() const { return AdapterUtilisationLimit; }
+    Duration unresponsiveBackoff() const { return UnresponsiveBackoff; }
+    Options &setDataCentre(std::string Name) {
+      DataCentre = std::move(Name);
+      return *this;
+    }
+    Options &setDistanceCost(Duration D) {
+      DistanceCost = D;
+      return *this;
+    }
+
+  private:
+    std::string DataCentre;
+    size_t MaxAdapters = 8192;
+    // Expected time to load an adapter from the weight store.
+    Duration LoadTime = std::chrono::milliseconds(280);
+    // Cost of loading the adapter on an engine that is not a preferred one: the
+    // copy takes a slot from other adapters and a load from the weight store,
+    // to avoid a wait that would soon be over.
+    Duration ExtraCopyCost = std::chrono::milliseconds(500);
+    // Expected time to load an adapter on a preferred engine, which often held
+    // it recently and then loads it faster.
+    Duration PreferredLoadTime = std::chrono::milliseconds(120);
+    // Cost of an engine in another data centre. Traffic between data centres is
+    // expensive and only worth it to avoid a longer wait than this.
+    Duration DistanceCost = std::chrono::milliseconds(15);
+    // Cost per running request: each slows down all others a little.
+    Duration RunningCost = std::chrono::milliseconds(3);
+    // Cost of an engine that spends all its time on prefill, which slows down
+    // all streams that it runs. Scales with the square of the utilisation.
+    Duration UtilisationCost = std::chrono::milliseconds(500);
+    // Cost of an engine whose recent calls all failed. Scales with the share of
+    // failed calls.
+    Duration FailureCost = std::chrono::seconds(2);
+    // Share of one engine's prefill time that an adapter may use before it gets
+    // a further preferred engine.
+    double AdapterUtilisationLimit = 0.3;
+    // Backoff after a side did not answer, and first backoff after an engine
+    // did not accept a connection.
+    Duration UnresponsiveBackoff = std::chrono::milliseconds(700);
+  };
+
+  explicit EngineRanker(Options O) : Opts(std::move(O)) {}
+
+  // Commands.
+
+  /// A load report of the engine arrived.
+  void onLoad(Time Now, const std::string &Id, const EngineLoad &Load);
+  /// A request for the adapter arrived at this entry.
+  void onDemand(Time Now, const EngineRequirements &Required);
+  /// An admission request was sent to the engine's side. Adds the prompt to the
+  /// engine's known backlog until its next load report.
+  void onSent(Time Now, const std::string &Id,
+              const EngineRequirements &Required);
+  /// A call that was sent to the engine has ended.
+  void onOutcome(Time Now, const std::string &Id, bool Failed);
+  /// The side beside the engine did not answer in time.
+  void onSideSilent(Time Now, const std::string &Id);
+  /// The side beside the engine answered.
+  void onSideAnswered(const std::string &Id);
+  /// The engine refused a connection or did not accept it in time.
+  void onUnreachable(Time Now, const std::string &Id);
+  /// Another incarnation answers at the engine's address; the id is never used
+  /// again.
+  void onReplaced(const std::string &Id);
+  /// Sets the number of entries that share the demand, this one included.
+  void setEntries(size_t Count) { Entries = std::max<size_t>(1, Count); }
+  /// Removes upstreams that are not in \p Known.
+  void retain(const std::map<std::string, UpstreamRecord> &Known);
+
+  // Queries.
+
+  /// Returns the engines among \p ReadyUpstreams that may be used now, cheapest
+  /// first. \p ReadyUpstreams are the upstreams of the service that are not
+  /// draining.
+  std::vector<EngineCandidate>
+  rank(Time Now, const EngineRequirements &Required,
+       std::span<const UpstreamRecord *const> ReadyUpstreams) const;
+  /// Number of engines that should hold the adapter, given its present demand.
+  size_t preferredEngines(Time Now, const EngineRequirements &Required) const;
+  size_t entries() const { return Entries; }
+
+private:
+  struct EngineState {
+    EngineLoad Load;
+    // A load report has arrived.
+    bool Known = false;
+    // By backlog rank: when the engine is expected to finish the prefill of all
+    // prompts known to be queued there at this rank or a more urgent one.
+    std::array<Time, BacklogRanks> BacklogEnd{};
+    UpstreamHealth Health;
+    Time SideBackoffUntil{};
+  };
+  // Demand for one adapter at this entry. The short-term mean shows a rise
+  // within a second; it is discounted for random fluctuation.
+  struct Demand {
+    // Prompt tokens per second, averaged over DemandSeconds.
+    double TokenRate = 0;
+    // Decayed sums of arrivals and of their prompt tokens over
+    // ShortTermSeconds.
+    double ShortTermCount = 0;
+    double ShortTermTokens = 0;
+    Time UpdatedAt{};
+  };
+
+  /// Prompt tokens per second for an adapter at this entry.
+  double tokenRate(Time Now, const std::string &Name) const;
+  /// Mean over the known engines, in prompt tokens per millisecond.
+  double meanPrefillRate() const;
+
+  Options Opts;
+  size_t Entries = 4;
+  std::unordered_map<std::string, EngineState> States;
+  std::unordered_map<std::string, Demand> Demands;
+};
+
+} // namespace goldcrestlink::forward
+
+#endif // GOLDCRESTLINK_FORWARD_ENGINE_RANKER_H
--- a/testing/fleet.cc
+++ b/testing/test_deployment.cc
@@ -1,7 +1,8 @@
-// Ports are chosen free; every process gets its settings as a file in the work
-// folder, and its log beside it. Waits are on conditions, with generous
-// limits.
-#include "testing/fleet.h"
+// Every process listens on free ports, and has its settings file and log file
+// in the work folder. The start waits for conditions rather than for fixed
+// times; each wait is bounded by StartSeconds, which leaves room for a busy
+// machine.
+#include "testing/test_deployment.h"
 
 #include <filesystem>
 #include <fstream>
@@ -24,7 +25,7 @@
 
 std::string fetchBody(const http::Endpoint &To, http::Request R) {
   try {
-    return http::fetchNow(To, std::move(R), http::CallOptions()).Body;
+    return http::fetchBlocking(To, std::move(R), http::CallOptions()).Body;
   } catch (const std::runtime_error &) {
     return {};
   }
@@ -32,7 +33,8 @@
 
 } // namespace
 
-Fleet::Fleet(FleetShape InShape, std::string InPrograms, std::string InWork)
+TestDeployment::TestDeployment(DeploymentOptions InShape,
+                               std::string InPrograms, std::string InWork)
     : Shape(std::move(InShape)), Programs(std::move(InPrograms)),
       Work(std::move(InWork)) {
   std::filesystem::remove_all(Work);
@@ -40,8 +42,8 @@
   plan();
 }
 
-Member Fleet::makeMember(const std::string &Name) {
-  Member M;
+ManagedProcess TestDeployment::makeProcess(const std::string &Name) {
+  ManagedProcess M;
   M.Name = Name;
   M.Http = freeEndpoint();
   M.Admin = freeEndpoint();
@@ -49,11 +51,11 @@
   return M;
 }
 
-void Fleet::plan() {
-  Platform = makeMember("platform");
+void TestDeployment::plan() {
+  Platform = makeProcess("platform");
   Platform.Command = {Programs + "/standin_platform", "--listen",
                       Platform.Http.text()};
-  Store = makeMember("store");
+  Store = makeProcess("store");
   Store.Command = {Programs + "/standin_store",
                    "--listen",
                    Store.Http.text(),
@@ -64,7 +66,7 @@
                    "--in-flight",
                    std::to_string(Shape.StoreInFlight)};
   for (size_t I = 0; I < Shape.Engines; ++I) {
-    Member M = makeMember("engine-" + std::to_string(I + 1));
+    ManagedProcess M = makeProcess("engine-" + std::to_string(I + 1));
     M.Command = {Programs + "/standin_engine",
                  "--listen",
                  M.Http.text(),
@@ -89,7 +91,7 @@
     Engines.push_back(std::move(M));
   }
   for (size_t I = 0; I < Shape.Services; ++I) {
-    Member M = makeMember("ledger-" + std::to_string(I + 1));
+    ManagedProcess M = makeProcess("ledger-" + std::to_string(I + 1));
     M.Command = {Programs + "/standin_service", "--listen", M.Http.text()};
     if (Shape.ServicesCheckFencing)
       M.Command.push_back("--checks-fencing");
@@ -99,7 +101,7 @@
   planSides(EngineSides, Engines, "side-");
   planSides(ServiceSides, Services, "side-");
   for (size_t I = 0; I < Shape.Entries; ++I) {
-    Member M = makeMember("entry-" + std::to_string(I + 1));
+    ManagedProcess M = makeProcess("entry-" + std::to_string(I + 1));
     M.Command = {Programs + "/goldcrestlinkd", "--settings",
                  Work + "/" + M.Name + ".ini"};
     Entries.push_back(std::move(M));
@@ -113,23 +115,24 @@
   }
   if (!Shape.Relay)
     return;
-  Relay = makeMember("relay");
+  Relay = makeProcess("relay");
   Relay.Command = {Programs + "/standin_relay", "--admin", Relay.Admin.text()};
   for (auto *Sides : {&EngineSides, &ServiceSides})
-    for (Member &M : *Sides) {
-      const http::Endpoint Inside = M.Admin;
-      Relay.Command.push_back(M.Wire.text() + "=" + Inside.text());
+    for (ManagedProcess &M : *Sides) {
+      const http::Endpoint Listen = M.Admin;
+      Relay.Command.push_back(M.Wire.text() + "=" + Listen.text());
     }
 }
 
-void Fleet::planSides(std::vector<Member> &Sides,
-                      const std::vector<Member> &Beside, const char *Prefix) {
-  for (const Member &Upstream : Beside) {
-    Member M = makeMember(Prefix + Upstream.Name);
+void TestDeployment::planSides(std::vector<ManagedProcess> &Sides,
+                               const std::vector<ManagedProcess> &Upstreams,
+                               const char *Prefix) {
+  for (const ManagedProcess &Upstream : Upstreams) {
+    ManagedProcess M = makeProcess(Prefix + Upstream.Name);
     M.Command = {Programs + "/goldcrestlinkd", "--settings",
                  Work + "/" + M.Name + ".ini"};
-    // Behind a relay, the declared address is the relay's and the side
-    // listens on a second one.
+    // With a relay, the declared address belongs to the relay, and the side
+    // listens on a second address.
     const http::Endpoint Listen = Shape.Relay ? M.Admin : M.Wire;
     writeFile(Work + "/" + M.Name + ".ini",
               settingsText(M, "side") + "[side]\nupstream = " + Upstream.Name +
@@ -138,19 +141,21 @@
   }
 }
 
-std::string Fleet::settingsText(const Member &M,
-                                const std::string &Role) const {
+std::string TestDeployment::settingsText(const ManagedProcess &Target,
+                                         const std::string &Role) const {
   std::string Peers;
   for (const auto *Sides : {&EngineSides, &ServiceSides})
-    for (const Member &Side : *Sides)
-      if (Side.Name != M.Name)
+    for (const ManagedProcess &Side : *Sides)
+      if (Side.Name != Target.Name)
         Peers += " " + Side.Wire.text();
   std::string Text =
-      "[process]\nrole = " + Role + "\ninstance = " + M.Name +
-      "\ndata_center = dc-1\ncell = " + Cell + "\nlisten = " + M.Http.text() +
+      "[process]\nrole = " + Role + "\ninstance = " + Target.Name +
+      "\ndata_center = dc-1\ncell = " + Cell +
+      "\nlisten = " + Target.Http.text() +
       "\ntraffic_threads = " + std::to_string(Shape.TrafficThreads) + "\n";
   Text += "[platform]\nendpoints = " + Platform.Http.text() + "\n";
-  // The longest line that settings allow holds about six addresses.
+  // The settings parser limits the length of a line; about six addresses fit
+  // into one.
   if (!Peers.empty())
     Text += "peers =" + Peers.substr(0, Peers.find(' ', 120)) + "\n";
   if (!Shape.Strategy.empty())
@@ -158,11 +163,12 @@
   return Text;
 }
 
-void Fleet::writeFile(const std::string &Path, const std::string &Text) const {
+void TestDeployment::writeFile(const std::string &Path,
+                               const std::string &Text) const {
   std::ofstream(Path, std::ios::binary) << Text;
 }
 
-void Fleet::writeDeclarations() {
+void TestDeployment::writeDeclarations() {
   std::ostringstream Base;
   Base << "[policy]\nlease_ms = " << Shape.LeaseMs
        << "\nclock_skew_ms = " << Shape.ClockSkewMs << "\n[store]\n"
@@ -181,8 +187,9 @@
           "rank = standard\n"
           "[route /records]\nservice = ledger\nidempotent = yes\n"
           "rank = standard\n";
-  const auto Upstream = [&](const char *Kind, const Member &M,
-                            const Member &Side, const std::string &More) {
+  const auto Upstream = [&](const char *Kind, const ManagedProcess &M,
+                            const ManagedProcess &Side,
+                            const std::string &More) {
     Base << "[" << Kind << " " << M.Name
          << "]\ndata_center = dc-1\ncell = " << Cell
          << "\nside = " << Side.Wire.text() << "\naddress = " << M.Http.text()
@@ -206,30 +213,32 @@
   writeFile(Work + "/declarations/adapters.ini", Adapters.str());
 }
 
-int Fleet::tool(const std::vector<std::string> &Arguments) {
+int TestDeployment::tool(const std::vector<std::string> &Arguments) {
   std::vector<std::string> Command = {Programs + "/goldcrestlink"};
   Command.insert(Command.end(), Arguments.begin(), Arguments.end());
   return Process(Command, Work + "/tool.log").wait();
 }
 
-int Fleet::apply() {
+int TestDeployment::apply() {
   writeDeclarations();
   return tool(
       {"apply", Work + "/declarations", "--platform", Platform.Http.text()});
 }
 
-void Fleet::launch(Member &M) {
-  M.Running =
-      std::make_unique<Process>(M.Command, Work + "/" + M.Name + ".log");
+void TestDeployment::launch(ManagedProcess &Target) {
+  Target.Child = std::make_unique<Process>(Target.Command,
+                                           Work + "/" + Target.Name + ".log");
 }
 
-void Fleet::restart(Member &M) {
-  M.Running.reset();
-  launch(M);
+void TestDeployment::restart(ManagedProcess &Target) {
+  Target.Child.reset();
+  launch(Target);
 }
 
-std::string Fleet::admin(const http::Endpoint &To, const std::string &Target,
-                         const std::string &Method, const std::string &Body) {
+std::string TestDeployment::admin(const http::Endpoint &To,
+                                  const std::string &Target,
+                                  const std::string &Method,
+                                  const std::string &Body) {
   http::Request R;
   R.Method = Method;
   R.Target = Target;
@@ -237,27 +246,29 @@
   return fetchBody(To, std::move(R));
 }
 
-void Fleet::start() {
+void TestDeployment::start() {
   launch(Platform);
   if (Shape.UseStore)
     launch(Store);
   for (auto *Group : {&Engines, &Services})
-    for (Member &M : *Group)
+    for (ManagedProcess &M : *Group)
       launch(M);
   if (Shape.Relay)
     launch(Relay);
   const auto Answers = [&](const http::Endpoint &To, const char *Target) {
     return !admin(To, Target, "GET").empty();
   };
-  bool Up = eventually([&] { return Answers(Platform.Http, "/admin/counts"); },
-                       StartSeconds);
+  bool Started = eventually(
+      [&] { return Answers(Platform.Http, "/admin/counts"); }, StartSeconds);
   setInstances({});
-  Up = Up && apply() == 0;
+  Started = Started && apply() == 0;
   for (auto *Group : {&EngineSides, &ServiceSides, &Entries})
-    for (Member &M : *Group)
+    for (ManagedProcess &M : *Group)
       launch(M);
-  Up = Up && eventually([&] { return generationInForce(1); }, StartSeconds);
-  // All shards of the service's keys have an owner.
+  Started =
+      Started && eventually([&] { return allHaveGeneration(1); }, StartSeconds);
+  // The route is idempotent, so this does not wait until the shards of
+  // idempotency keys have owners.
   const auto Served = [&] {
     http::Request R;
     R.Target = "/records/start";
@@ -265,19 +276,20 @@
            std::string::npos;
   };
   if (!Services.empty())
-    Up = Up && eventually(Served, StartSeconds);
-  if (!Up)
-    throw std::runtime_error("the fleet did not start; see " + Work);
+    Started = Started && eventually(Served, StartSeconds);
+  if (!Started)
+    throw std::runtime_error(
+        "the deployment did not start in time; see the logs in " + Work);
 }
 
-bool Fleet::generationInForce(uint64_t Generation) {
+bool TestDeployment::allHaveGeneration(uint64_t Generation) {
   const std::string AtEntry = "generation " + std::to_string(Generation) + "\n";
   const std::string AtSide = "} " + std::to_string(Generation) + "\n";
-  for (const Member &M : Entries)
+  for (const ManagedProcess &M : Entries)
     if (admin(M.Http, "/status", "GET").rfind(AtEntry, 0) != 0)
       return false;
   for (const auto *Group : {&EngineSides, &ServiceSides})
-    for (const Member &M : *Group) {
+    for (const ManagedProcess &M : *Group) {
       const std::string Text = admin(M.Http, "/status", "GET");
       const size_t End = Text.find('\n');
       if (End == std::string::npos ||
@@ -287,9 +299,9 @@
   return true;
 }
 
-uint64_t Fleet::engineCount(const std::string &Name) {
+uint64_t TestDeployment::sumEngineCounter(const std::string &Name) {
   uint64_t Sum = 0;
-  for (const Member &M : Engines) {
+  for (const ManagedProcess &M : Engines) {
     std::istringstream Lines(admin(M.Admin, "/admin/counts", "GET"));
     std::string Key;
     uint64_t Value = 0;
@@ -299,9 +311,10 @@
   return Sum;
 }
 
-std::vector<std::string> Fleet::runs(const std::vector<Member> &Of) {
+std::vector<std::string>
+TestDeployment::runs(const std::vector<ManagedProcess> &Upstreams) {
   std::vector<std::string> Out;
-  for (const Member &M : Of) {
+  for (const ManagedProcess &M : Upstreams) {
     std::istringstream Lines(admin(M.Admin, "/admin/runs", "GET"));
     for (std::string Line; std::getline(Lines, Line);)
       Out.push_back(Line);
@@ -309,30 +322,30 @@
   return Out;
 }
 
-void Fleet::setInstances(const std::vector<std::string> &Leaving,
-                         const std::vector<std::string> &Gone) {
-  const auto Has = [](const std::vector<std::string> &List,
-                      const std::string &Name) {
+void TestDeployment::setInstances(const std::vector<std::string> &Draining,
+                                  const std::vector<std::string> &Gone) {
+  const auto Contains = [](const std::vector<std::string> &List,
+                           const std::string &Name) {
     return std::find(List.begin(), List.end(), Name) != List.end();
   };
   std::string Json;
   for (const auto *Group : {&Engines, &Services})
-    for (const Member &M : *Group)
-      if (!Has(Gone, M.Name))
+    for (const ManagedProcess &M : *Group)
+      if (!Contains(Gone, M.Name))
         Json += std::string(Json.empty() ? "" : ",") + "{\"name\":\"" + M.Name +
                 "\",\"state\":\"" +
-                (Has(Leaving, M.Name) ? "leaving" : "live") + "\"}";
+                (Contains(Draining, M.Name) ? "leaving" : "live") + "\"}";
   admin(Platform.Http, "/admin/instances", "PUT", "[" + Json + "]");
 }
 
-bool Fleet::stopGracefully() {
+bool TestDeployment::stopGracefully() {
   bool Clean = true;
   for (auto *Group : {&Entries, &EngineSides, &ServiceSides}) {
-    for (Member &M : *Group)
-      if (M.Running)
-        M.Running->signal(SIGTERM);
-    for (Member &M : *Group)
-      Clean &= !M.Running || M.Running->wait() == 0;
+    for (ManagedProcess &M : *Group)
+      if (M.Child)
+        M.Child->signal(SIGTERM);
+    for (ManagedProcess &M : *Group)
+      Clean &= !M.Child || M.Child->wait() == 0;
   }
   return Clean;
 }
